--- a/cmd/mastchute/faults.go
+++ b/cmd/mastchute/faults.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls/faults"
 )
 
 // init makes system calls fail as MASTCHUTE_FAULTS plans; for the fault soak only.
--- a/control/admission.go
+++ b/control/admission.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Request takes a request in: it is placed, held or answered at once.
-func (d *Dispatcher) Request(q Request) {
+// RequestArrived takes a request in: it is placed, held or answered at once.
+func (d *Dispatcher) RequestArrived(q Request) {
 	r := d.inFlight.acquire(q.ID)
 	r.group = d.groups[min(int(q.Group), len(d.groups)-1)]
 	m := d.models[q.Model]
@@ -12,24 +12,24 @@
 		m = &model{id: q.Model, group: r.group, runTime: r.group.runTime, loadTime: r.group.loadTime}
 		d.models[q.Model] = m
 	}
-	if q.Load > 0 && q.Load < never && !m.loadKnown {
-		m.loadTime = q.Load
+	if q.LoadTimeHint > 0 && q.LoadTimeHint < never && !m.loadKnown {
+		m.loadTime = q.LoadTimeHint
 	}
 	m.recent, m.recentAt = 1+m.recent*math.Exp((m.recentAt-d.now)/popularitySpan), d.now
 	d.recent, d.recentAt = 1+d.recent*math.Exp((d.recentAt-d.now)/popularitySpan), d.now
-	r.model, r.arrivedAt, r.workHint = m, d.now, q.Work
+	r.model, r.arrivedAt, r.workHint = m, d.now, q.WorkHint
 	d.sparseTraffic = d.requestRate() < sparseRate*float64(d.readyWorkers)
 	if m.preferred = 1; d.sparseTraffic { // queues are seen too late: as many as keep its share low
 		share := m.recent * float64(d.readyWorkers) / (preferredShare * (d.recent + preferredMin))
 		m.preferred = min(1+int(share), max(1, d.readyWorkers/2))
 	}
-	r.clientRetry, r.notAfter = q.Repeat, d.now+r.group.timeout
-	if q.NotAfter < r.notAfter { // not so where it is no number
-		r.notAfter = q.NotAfter
+	r.clientRetry, r.notAfter = q.ClientRetry, d.now+r.group.timeout
+	if q.Deadline < r.notAfter { // not so where it is no number
+		r.notAfter = q.Deadline
 	}
 	work := r.group.meanWork
-	if q.Work > 0 && q.Work < never {
-		work = q.Work
+	if q.WorkHint > 0 && q.WorkHint < never {
+		work = q.WorkHint
 		r.group.meanWork += smoothing * (work - r.group.meanWork)
 	}
 	r.slo = math.Min(r.group.slo+r.group.sloStretch*work, r.group.timeout)
--- a/control/api.go
+++ b/control/api.go
@@ -30,33 +30,35 @@
 type Result uint8
 
 const (
-	Returned      Result = iota // answered well
-	Errored                     // the worker said error; it may have run
-	Full                        // turned away unseen
-	TimedOut                    // no answer in time; may have run
-	ConnectFailed               // no connection came about
-	Reset                       // connection lost; may have run
-	Cancelled                   // called off; may have run
-	NotSent                     // never sent
-	Missed                      // no copy there, or the load waited for failed
+	Succeeded       Result = iota // answered well
+	WorkerError                   // the worker said error; it may have run
+	AtCapacity                    // turned away unseen
+	TimedOut                      // no answer in time; may have run
+	ConnectFailed                 // no connection came about
+	ConnectionReset               // connection lost; may have run
+	Cancelled                     // called off; may have run
+	NotSent                       // never sent
+	ModelNotLoaded                // no copy there, or the load waited for failed
 )
 
 // NeverRan tells whether the result proves that the attempt did not run.
 func (r Result) NeverRan() bool {
-	return r == Full || r == ConnectFailed || r == NotSent || r == Missed
+	return r == AtCapacity || r == ConnectFailed || r == NotSent || r == ModelNotLoaded
 }
 
-// Heard tells whether the result came from the worker itself.
-func (r Result) Heard() bool { return r == Returned || r == Errored || r == Full || r == Missed }
+// FromWorker tells whether the result came from the worker itself.
+func (r Result) FromWorker() bool {
+	return r == Succeeded || r == WorkerError || r == AtCapacity || r == ModelNotLoaded
+}
 
-// Found says how a request found its model on the worker.
-type Found uint8
+// ModelState says how a request found its model on the worker.
+type ModelState uint8
 
 const (
-	NotTold Found = iota
-	FoundWarm
-	BeganLoad
-	AwaitedLoad
+	ModelStateUnknown ModelState = iota
+	ModelWarm
+	LoadStarted
+	LoadAwaited
 	LoadFailed
 )
 
@@ -71,21 +73,21 @@
 
 // WorkerInfo is one line of the list of workers. Start is the time of the latest start, -Inf for long ago.
 type WorkerInfo struct {
-	ID     WorkerID
-	Zone   ZoneID
-	Kind   KindID
-	Cell   CellID
-	State  WorkerState
-	Weight float64
-	Start  Seconds
+	ID        WorkerID
+	Zone      ZoneID
+	Kind      KindID
+	Cell      CellID
+	State     WorkerState
+	Weight    float64
+	StartedAt Seconds
 }
 
-// ListKind says what a list event holds.
-type ListKind uint8
+// WorkerListKind says what a list event holds.
+type WorkerListKind uint8
 
 const (
-	ListChanges ListKind = iota
-	ListComplete
+	ListDelta WorkerListKind = iota
+	ListSnapshot
 	ListCached
 	ListFailed
 )
@@ -93,80 +95,80 @@
 // Request is a client's call as it comes in. NotAfter is +Inf where not told; Work and Load are 0 where
 // not told.
 type Request struct {
-	ID       RequestID
-	Model    ModelID
-	Group    GroupID
-	Tenant   TenantID
-	MemoryMB float64
-	Lanes    float64
-	Work     Seconds
-	Load     Seconds
-	NotAfter Seconds
-	Repeat   bool
+	ID           RequestID
+	Model        ModelID
+	Group        GroupID
+	Tenant       TenantID
+	MemoryMB     float64
+	Concurrency  float64
+	WorkHint     Seconds
+	LoadTimeHint Seconds
+	Deadline     Seconds
+	ClientRetry  bool
 }
 
-// Outcome tells how one attempt ended. Crowd is the count of same-model requests the worker held, -1 if
+// AttemptResult tells how one attempt ended. Crowd is the count of same-model requests the worker held, -1 if
 // not told.
-type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Worker  WorkerID
-	Took    Seconds
-	Result  Result
-	Found   Found
-	Crowd   int
-	Final   bool
-	Report  []float64
+type AttemptResult struct {
+	ID                RequestID
+	Attempt           int
+	Worker            WorkerID
+	Duration          Seconds
+	Result            Result
+	ModelState        ModelState
+	SameModelInFlight int
+	RequestAnswered   bool
+	LoadReport        []float64
 }
 
-// OrderResult answers one load order.
-type OrderResult struct {
-	Worker WorkerID
-	Model  ModelID
-	Result Result
-	Took   Seconds
-	Copies int
+// LoadResult answers one load order.
+type LoadResult struct {
+	Worker   WorkerID
+	Model    ModelID
+	Result   Result
+	Duration Seconds
+	Replicas int
 }
 
 // ProbeResult answers one probe.
 type ProbeResult struct {
-	Worker WorkerID
-	Result Result
-	Took   Seconds
-	Report []float64
+	Worker     WorkerID
+	Result     Result
+	Duration   Seconds
+	LoadReport []float64
 }
 
 // Actions is how the module acts; all act at the time of the event at hand.
 type Actions interface {
-	Attempt(id RequestID, w WorkerID, timeout Seconds) // timeout 0: until the client's time is up
+	SendAttempt(id RequestID, w WorkerID, timeout Seconds) // timeout 0: until the client's time is up
 	Shed(id RequestID, retryAfter Seconds)
 	Fail(id RequestID)
-	Cancel(id RequestID, attempt int)
-	Order(w WorkerID, m ModelID, copies int)
-	Unload(w WorkerID, m ModelID)
-	Probe(w WorkerID)
-	CloseIdle(w WorkerID)
-	Tell(to PeerID, note []byte)
-	Subscribe(on bool)
-	FetchList()
-	Wake(after Seconds, t TimerID)
+	CancelAttempt(id RequestID, attempt int)
+	LoadModel(w WorkerID, m ModelID, copies int)
+	UnloadModel(w WorkerID, m ModelID)
+	ProbeWorker(w WorkerID)
+	CloseIdleConnections(w WorkerID)
+	SendPeerMessage(to PeerID, note []byte)
+	SubscribeWorkerList(on bool)
+	FetchWorkerList()
+	SetTimer(after Seconds, t TimerID)
 	Log(text string)
 }
 
 // Module is a dispatcher as its host drives it: At sets the clock, then the events of that moment in order
 // of arrival, then Settle, which emits what follows from them.
 type Module interface {
-	At(now Seconds)
-	Workers(kind ListKind, version uint32, list []WorkerInfo)
-	Request(q Request)
-	Streaming(id RequestID, attempt int, w WorkerID, took Seconds)
-	Outcome(o Outcome)
-	Withdrawn(id RequestID)
-	Ordered(o OrderResult)
-	Probed(o ProbeResult)
-	Told(from PeerID, note []byte)
-	Timer(t TimerID)
-	Settle()
+	SetNow(now Seconds)
+	UpdateWorkers(kind WorkerListKind, version uint32, list []WorkerInfo)
+	RequestArrived(q Request)
+	ResponseStarted(id RequestID, attempt int, w WorkerID, took Seconds)
+	AttemptFinished(o AttemptResult)
+	RequestCancelled(id RequestID)
+	LoadFinished(o LoadResult)
+	ProbeFinished(o ProbeResult)
+	PeerMessageReceived(from PeerID, note []byte)
+	TimerFired(t TimerID)
+	Reconcile()
 }
 
 // Settings is what a dispatcher is told at start: dotted names to float64, string or bool. The entries of a list stand
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -46,20 +46,20 @@
 	prob bool
 }
 
-func (f *fleetNode) Attempt(id RequestID, w WorkerID, _ Seconds) {
+func (f *fleetNode) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
 	f.sent(w)
 	f.due = append(f.due, coldDue{at: f.now + coldWork, id: id, n: f.went[id], w: w})
 	f.went[id]++
 }
-func (f *fleetNode) Probe(w WorkerID) {
+func (f *fleetNode) ProbeWorker(w WorkerID) {
 	f.due = append(f.due, coldDue{at: f.now + 0.002, w: w, prob: true})
 }
-func (f *fleetNode) Shed(RequestID, Seconds)      {}
-func (f *fleetNode) Fail(RequestID)               {}
-func (f *fleetNode) Cancel(RequestID, int)        {}
-func (f *fleetNode) Order(WorkerID, ModelID, int) {}
-func (f *fleetNode) Subscribe(bool)               {}
-func (f *fleetNode) Wake(Seconds, TimerID)        { f.wake = true }
+func (f *fleetNode) Shed(RequestID, Seconds)          {}
+func (f *fleetNode) Fail(RequestID)                   {}
+func (f *fleetNode) CancelAttempt(RequestID, int)     {}
+func (f *fleetNode) LoadModel(WorkerID, ModelID, int) {}
+func (f *fleetNode) SubscribeWorkerList(bool)         {}
+func (f *fleetNode) SetTimer(Seconds, TimerID)        { f.wake = true }
 
 // play returns the largest share of its limit that a cold worker got in any window of the fall's length.
 func (c coldRun) play(seed uint64) float64 {
@@ -76,9 +76,9 @@
 	list := func(born float64) (l []WorkerInfo) {
 		for i := range c.workers {
 			if start := math.Inf(-1); i >= c.cold {
-				l = append(l, WorkerInfo{ID: WorkerID(hash(uint64(i) + seed<<20)), State: Ready, Start: start, Weight: 1})
+				l = append(l, WorkerInfo{ID: WorkerID(hash(uint64(i) + seed<<20)), State: Ready, StartedAt: start, Weight: 1})
 			} else if now >= coldAt {
-				l = append(l, WorkerInfo{ID: WorkerID(hash(uint64(i) + seed<<20)), State: Ready, Start: coldAt - born, Weight: 1})
+				l = append(l, WorkerInfo{ID: WorkerID(hash(uint64(i) + seed<<20)), State: Ready, StartedAt: coldAt - born, Weight: 1})
 			}
 		}
 		return l
@@ -90,9 +90,9 @@
 	fresh := func(n *fleetNode) {
 		n.born, n.now, n.due, n.wake, n.went = now, 0, nil, false, map[RequestID]int{}
 		n.d = New(rnd.Uint64(), set, n)
-		n.d.At(0)
-		n.d.Workers(ListComplete, 1, list(now))
-		n.d.Settle()
+		n.d.SetNow(0)
+		n.d.UpdateWorkers(ListSnapshot, 1, list(now))
+		n.d.Reconcile()
 	}
 	var nodes []*fleetNode
 	total := 0.0
@@ -114,9 +114,9 @@
 				if float64(i) < c.restart*float64(len(nodes)) {
 					fresh(n)
 				} else {
-					n.d.At(now - n.born)
-					n.d.Workers(ListChanges, 2, list(n.born))
-					n.d.Settle()
+					n.d.SetNow(now - n.born)
+					n.d.UpdateWorkers(ListDelta, 2, list(n.born))
+					n.d.Reconcile()
 				}
 			}
 		}
@@ -126,7 +126,7 @@
 			begin := func() {
 				if !busy {
 					busy = true
-					n.d.At(n.now)
+					n.d.SetNow(n.now)
 				}
 			}
 			k := 0
@@ -141,25 +141,25 @@
 				k++
 				report := []float64{out[index[o.w]], 0}
 				if o.prob {
-					n.d.Probed(ProbeResult{Worker: o.w, Result: Returned, Took: 0.002, Report: report})
+					n.d.ProbeFinished(ProbeResult{Worker: o.w, Result: Succeeded, Duration: 0.002, LoadReport: report})
 				} else {
 					out[index[o.w]]--
-					n.d.Outcome(Outcome{ID: o.id, Attempt: o.n, Worker: o.w, Took: coldWork, Result: Returned, Found: FoundWarm, Crowd: -1, Final: true, Report: report})
+					n.d.AttemptFinished(AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Duration: coldWork, Result: Succeeded, ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true, LoadReport: report})
 				}
 			}
 			if n.wake {
 				begin()
 				n.wake = false
-				n.d.Timer(0)
+				n.d.TimerFired(0)
 			}
 			mean := c.rate * float64(c.workers) * n.weigh / total * coldStep
 			for p := rnd.ExpFloat64(); p < mean; p += rnd.ExpFloat64() {
 				begin()
 				n.next++
-				n.d.Request(Request{ID: n.next, Model: ModelID(1 + int(float64(c.models)*math.Pow(rnd.Float64(), 2))), Work: coldWork, Load: 1, NotAfter: n.now + 5, Tenant: math.MaxUint16})
+				n.d.RequestArrived(Request{ID: n.next, Model: ModelID(1 + int(float64(c.models)*math.Pow(rnd.Float64(), 2))), WorkHint: coldWork, LoadTimeHint: 1, Deadline: n.now + 5, Tenant: math.MaxUint16})
 			}
 			if busy {
-				n.d.Settle()
+				n.d.Reconcile()
 			}
 		}
 	}
--- a/control/coldstart.go
+++ b/control/coldstart.go
@@ -5,7 +5,7 @@
 // capacityShare is the share of its capacity a worker is sure to have since its start (rule 4).
 func (d *Dispatcher) capacityShare(w *worker) float64 {
 	span, low := d.warmAfter, d.coldShare
-	if age := d.now - w.Start; age < span {
+	if age := d.now - w.StartedAt; age < span {
 		return low + (1-low)*math.Max(0, age)/span
 	}
 	return 1
@@ -70,17 +70,17 @@
 	return true
 }
 
-// Ordered takes the answer to a load order: requests held for it go on.
-func (d *Dispatcher) Ordered(o OrderResult) {
+// LoadFinished takes the answer to a load order: requests held for it go on.
+func (d *Dispatcher) LoadFinished(o LoadResult) {
 	w, m := d.workersByID[o.Worker], d.models[o.Model]
 	if w == nil || m == nil {
 		return
 	}
 	rep := m.replica(w)
 	rep.orderPending = false
-	stands := o.Result == Returned && o.Copies > 0
+	stands := o.Result == Succeeded && o.Replicas > 0
 	if rep.warmUntil = d.now + d.keepAlive; stands {
-		d.learnLoadTime(m, o.Took)
+		d.learnLoadTime(m, o.Duration)
 	} else {
 		rep.warmUntil, rep.noRoomUntil = math.Inf(-1), d.now+noRoomPause
 	}
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -8,27 +8,27 @@
 // answering swallows actions but those that are to be answered.
 type answering struct {
 	now  Seconds
-	sent []Outcome
+	sent []AttemptResult
 	at   []Seconds
 	n    int
 }
 
-func (q *answering) Attempt(i RequestID, w WorkerID, _ Seconds) {
+func (q *answering) SendAttempt(i RequestID, w WorkerID, _ Seconds) {
 	q.at = append(q.at, q.now+0.05)
-	q.sent = append(q.sent, Outcome{ID: i, Worker: w, Took: 0.05, Found: FoundWarm, Crowd: -1, Final: true})
+	q.sent = append(q.sent, AttemptResult{ID: i, Worker: w, Duration: 0.05, ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true})
 }
-func (q *answering) Shed(RequestID, Seconds)      { q.n++ }
-func (q *answering) Fail(RequestID)               { q.n++ }
-func (q *answering) Cancel(RequestID, int)        {}
-func (q *answering) Order(WorkerID, ModelID, int) {}
-func (q *answering) Unload(WorkerID, ModelID)     {}
-func (q *answering) Probe(WorkerID)               {}
-func (q *answering) CloseIdle(WorkerID)           {}
-func (q *answering) Tell(PeerID, []byte)          {}
-func (q *answering) Subscribe(bool)               {}
-func (q *answering) FetchList()                   {}
-func (q *answering) Wake(Seconds, TimerID)        {}
-func (q *answering) Log(string)                   {}
+func (q *answering) Shed(RequestID, Seconds)          { q.n++ }
+func (q *answering) Fail(RequestID)                   { q.n++ }
+func (q *answering) CancelAttempt(RequestID, int)     {}
+func (q *answering) LoadModel(WorkerID, ModelID, int) {}
+func (q *answering) UnloadModel(WorkerID, ModelID)    {}
+func (q *answering) ProbeWorker(WorkerID)             {}
+func (q *answering) CloseIdleConnections(WorkerID)    {}
+func (q *answering) SendPeerMessage(PeerID, []byte)   {}
+func (q *answering) SubscribeWorkerList(bool)         {}
+func (q *answering) FetchWorkerList()                 {}
+func (q *answering) SetTimer(Seconds, TimerID)        {}
+func (q *answering) Log(string)                       {}
 
 // BenchmarkRequest is one request from arrival to its answer, without trouble, by number of workers.
 func BenchmarkRequest(b *testing.B) {
@@ -45,22 +45,22 @@
 				"load_report.fields": 1.0, "load_report.fields.0": "inflight"}, a)
 			var list []WorkerInfo
 			for i := range n {
-				list = append(list, WorkerInfo{ID: WorkerID(i + 1), State: Ready, Weight: 1, Start: -1e6})
+				list = append(list, WorkerInfo{ID: WorkerID(i + 1), State: Ready, Weight: 1, StartedAt: -1e6})
 			}
 			now, id, first := 0.0, RequestID(0), 0
-			d.At(0)
-			d.Workers(ListComplete, 1, list)
-			d.Settle()
+			d.SetNow(0)
+			d.UpdateWorkers(ListSnapshot, 1, list)
+			d.Reconcile()
 			one := func() {
 				id++
 				now += 0.05 / (2 * float64(n)) / share // two in flight at each worker, of all dispatchers
 				a.now = now
-				d.At(now)
-				d.Request(Request{ID: id, Model: ModelID(id % RequestID(2*n)), NotAfter: now + 5})
-				d.Settle()
+				d.SetNow(now)
+				d.RequestArrived(Request{ID: id, Model: ModelID(id % RequestID(2*n)), Deadline: now + 5})
+				d.Reconcile()
 				for first < len(a.at) && a.at[first] <= now {
-					d.Outcome(a.sent[first])
-					d.Settle()
+					d.AttemptFinished(a.sent[first])
+					d.Reconcile()
 					first++
 				}
 				if first > 4*n { // what has been answered makes room
@@ -68,8 +68,8 @@
 					first = 0
 				}
 				if id%64 == 0 {
-					d.Timer(0)
-					d.Settle()
+					d.TimerFired(0)
+					d.Reconcile()
 				}
 			}
 			for range 20 * n {
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -62,18 +62,18 @@
 	return mean + (w.reported-mean)*math.Exp((w.reportedAt-d.now)/reportSpan)
 }
 
-func (d *Dispatcher) learn(r *request, f *attempt, o Outcome) {
+func (d *Dispatcher) learn(r *request, f *attempt, o AttemptResult) {
 	m, g := r.model, r.group
 	switch {
-	case o.Found == FoundWarm || o.Found == NotTold && !f.loading:
-		smooth(&m.runTime, &m.runKnown, o.Took, smoothing)
-		d.runTime += smoothing / 2 * (o.Took - d.runTime)
-		smooth(&g.runTime, &g.runKnown, o.Took, smoothing)
+	case o.ModelState == ModelWarm || o.ModelState == ModelStateUnknown && !f.loading:
+		smooth(&m.runTime, &m.runKnown, o.Duration, smoothing)
+		d.runTime += smoothing / 2 * (o.Duration - d.runTime)
+		smooth(&g.runTime, &g.runKnown, o.Duration, smoothing)
 		if r.workHint == 0 {
-			g.meanWork += smoothing * (o.Took - g.meanWork)
+			g.meanWork += smoothing * (o.Duration - g.meanWork)
 		}
-	case o.Found == BeganLoad:
-		d.learnLoadTime(m, math.Max(0, o.Took-m.runTime))
+	case o.ModelState == LoadStarted:
+		d.learnLoadTime(m, math.Max(0, o.Duration-m.runTime))
 	}
 }
 
--- a/control/forget_test.go
+++ b/control/forget_test.go
@@ -8,31 +8,31 @@
 	d := New(1, Settings{"limits.max_attempts": 3.0, "models.keep": 8.0, "groups": 1.0, "groups.0.effect": "retriable", "groups.0.slo": 1.0,
 		"groups.0.timeout": 5.0, "tick": 0.001}, a)
 	now, id := 0.0, RequestID(0)
-	at := func(s Seconds, f func()) { now += s; a.now = now; d.At(now); f(); d.Settle() }
+	at := func(s Seconds, f func()) { now += s; a.now = now; d.SetNow(now); f(); d.Reconcile() }
 	list := func(day, n int) (l []WorkerInfo) {
 		for i := range n {
-			l = append(l, WorkerInfo{ID: WorkerID(day*10000 + i), State: Ready, Weight: 1, Start: -1e6})
+			l = append(l, WorkerInfo{ID: WorkerID(day*10000 + i), State: Ready, Weight: 1, StartedAt: -1e6})
 		}
 		return l
 	}
 	ask := func(m ModelID) {
 		id++
-		at(1e-4, func() { d.Request(Request{ID: id, Model: m, NotAfter: now + 60}) })
+		at(1e-4, func() { d.RequestArrived(Request{ID: id, Model: m, Deadline: now + 60}) })
 	}
 	answer := func() {
 		sent := a.sent
 		a.sent, a.at = nil, nil // answers let others go, which are answered the next time
 		for _, o := range sent {
-			at(1e-4, func() { d.Outcome(o) })
+			at(1e-4, func() { d.AttemptFinished(o) })
 		}
 	}
 	for day := range 30 { // all workers replaced each day
-		at(86400, func() { d.Workers(ListComplete, uint32(day), list(day, 200)) })
+		at(86400, func() { d.UpdateWorkers(ListSnapshot, uint32(day), list(day, 200)) })
 		for m := range 300 {
 			ask(ModelID(m))
 		}
 		answer()
-		at(0.01, func() { d.Timer(0) })
+		at(0.01, func() { d.TimerFired(0) })
 	}
 	if len(d.workers) > 400 || len(d.workersByID) != len(d.workers) || d.nextIndex > 600 { // two days in the list, and the next as it comes
 		t.Errorf("%d workers, %d known, %d indexes after 6,000 replaced", len(d.workers), len(d.workersByID), d.nextIndex)
@@ -51,7 +51,7 @@
 		ask(ModelID(1000 + m))
 		if m%100 == 0 {
 			answer()
-			at(0.01, func() { d.Timer(0) })
+			at(0.01, func() { d.TimerFired(0) })
 		}
 	}
 	answer()
@@ -70,9 +70,9 @@
 			t.Fatalf("%d are in hand for ever", len(d.inFlight.byID))
 		}
 		answer()
-		at(0.01, func() { d.Timer(0) })
+		at(0.01, func() { d.TimerFired(0) })
 	}
-	at(0.01, func() { d.Timer(0) })
+	at(0.01, func() { d.TimerFired(0) })
 	if len(d.inFlight.slots) > tableMin || a.n != before {
 		t.Errorf("%d places of the slab after the burst; %d shed", len(d.inFlight.slots), a.n-before)
 	}
--- a/control/membership.go
+++ b/control/membership.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Workers takes a list of workers, or the word that a call to discovery failed.
-func (d *Dispatcher) Workers(kind ListKind, _ uint32, list []WorkerInfo) {
+// UpdateWorkers takes a list of workers, or the word that a call to discovery failed.
+func (d *Dispatcher) UpdateWorkers(kind WorkerListKind, _ uint32, list []WorkerInfo) {
 	if kind == ListFailed {
 		d.subscribeAt = d.now + d.subscribeBackoff
 		d.subscribeBackoff = math.Min(2*d.subscribeBackoff, d.askEvery)
@@ -11,7 +11,7 @@
 	} else if kind != ListCached {
 		d.subscribeBackoff = subscribeBackoffMin
 	}
-	if kind != ListChanges {
+	if kind != ListDelta {
 		for _, w := range d.workers {
 			w.State = Gone
 		}
@@ -23,7 +23,7 @@
 				goneAt: math.Inf(1), classes: make([]health, len(d.groups)*d.tenantClasses)}
 			d.workersByID[l.ID] = w
 			d.workers = append(d.workers, w)
-		} else if l.Start > w.Start {
+		} else if l.StartedAt > w.StartedAt {
 			d.restarted(w)
 		}
 		w.WorkerInfo = l
@@ -42,7 +42,7 @@
 			continue
 		}
 		a := &r.attempts[r.attempted-1]
-		if w := a.worker; w.State == Ready && a.sentAt > w.Start {
+		if w := a.worker; w.State == Ready && a.sentAt > w.StartedAt {
 			continue
 		}
 		d.unsend(r)
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Outcome learns from the end of an attempt, and goes on with its request where that has no answer yet.
-func (d *Dispatcher) Outcome(o Outcome) {
+// AttemptFinished learns from the end of an attempt, and goes on with its request where that has no answer yet.
+func (d *Dispatcher) AttemptFinished(o AttemptResult) {
 	r := d.inFlight.lookup(o.ID)
 	if r == nil || o.Attempt < 0 || o.Attempt >= r.attempted || r.attempts[o.Attempt].state != attemptPending {
 		return
@@ -16,34 +16,34 @@
 	if a.state = attemptMayHaveRun; o.Result.NeverRan() {
 		a.state = attemptNeverRan
 	}
-	if class := &w.classes[r.class]; o.Result.Heard() {
-		class.answeredAt, class.answeredWell = d.now, o.Result == Returned || o.Result == Missed
+	if class := &w.classes[r.class]; o.Result.FromWorker() {
+		class.answeredAt, class.answeredWell = d.now, o.Result == Succeeded || o.Result == ModelNotLoaded
 	}
-	d.takeReport(w, o.Report, reportSmoothing)
-	if o.Result == Returned && o.Attempt > 0 {
+	d.takeReport(w, o.LoadReport, reportSmoothing)
+	if o.Result == Succeeded && o.Attempt > 0 {
 		d.retrySuccess += smoothing * (1 - d.retrySuccess)
-	} else if o.Attempt > 0 && o.Result != Cancelled && o.Result != Missed {
+	} else if o.Attempt > 0 && o.Result != Cancelled && o.Result != ModelNotLoaded {
 		d.retrySuccess -= smoothing * d.retrySuccess
 	}
 	if o.Result == Cancelled || o.Result == TimedOut {
 		w.abandon(d.now, d.runTime) // it may work on: else an impatient crowd would seem to cost nothing
 	}
 	switch o.Result {
-	case Returned:
+	case Succeeded:
 		d.returned(r, a, o)
 		return
-	case Missed:
+	case ModelNotLoaded:
 		rep.warmUntil = math.Inf(-1)
-		if r.state != stateDone && !o.Final && o.Found != LoadFailed && d.orderLoad(rep) {
+		if r.state != stateDone && !o.RequestAnswered && o.ModelState != LoadFailed && d.orderLoad(rep) {
 			if d.hold(r, rep); d.exhausted(r) {
 				d.giveUp(r)
 			}
 			return
 		}
-	case Full:
+	case AtCapacity:
 		d.rest(r, a)
-	case Errored, TimedOut, ConnectFailed, Reset:
-		if o.Found == LoadFailed {
+	case WorkerError, TimedOut, ConnectFailed, ConnectionReset:
+		if o.ModelState == LoadFailed {
 			rep.warmUntil = math.Inf(-1)
 		} else if o.Result != TimedOut || d.now < r.notAfter-d.answerMargin() {
 			d.recordResult(d.failureScope(w, r.class, a.sentAt-failureScopeSpan), false)
@@ -51,7 +51,7 @@
 	}
 	d.loadSettled(rep)
 	d.releaseHeld(rep, false)
-	if o.Final || r.state == stateDone {
+	if o.RequestAnswered || r.state == stateDone {
 		d.finish(r)
 	} else if r.pending == 0 && r.state != stateHeld {
 		d.retry(r)
@@ -59,12 +59,12 @@
 }
 
 // returned learns from a good answer, and lets those held for it go.
-func (d *Dispatcher) returned(r *request, a *attempt, o Outcome) {
+func (d *Dispatcher) returned(r *request, a *attempt, o AttemptResult) {
 	w, rep := a.worker, r.model.replica(a.worker)
 	d.learn(r, a, o)
 	d.recordResult(&w.health, true)
 	d.recordResult(&w.classes[r.class], true)
-	if a.sentAt > w.Start {
+	if a.sentAt > w.StartedAt {
 		rep.warmUntil = d.now + d.keepAlive
 	}
 	d.loadSettled(rep)
@@ -84,10 +84,10 @@
 	}
 }
 
-// Probed takes the report that answers a probe; requests held for it are placed.
-func (d *Dispatcher) Probed(o ProbeResult) {
-	if w := d.workersByID[o.Worker]; w != nil && o.Result == Returned {
-		d.takeReport(w, o.Report, 1)
+// ProbeFinished takes the report that answers a probe; requests held for it are placed.
+func (d *Dispatcher) ProbeFinished(o ProbeResult) {
+	if w := d.workersByID[o.Worker]; w != nil && o.Result == Succeeded {
+		d.takeReport(w, o.LoadReport, 1)
 	}
 	d.heardNews = true
 	d.sweep()
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Settle emits the difference between the wanted state and what is out.
-func (d *Dispatcher) Settle() {
+// Reconcile emits the difference between the wanted state and what is out.
+func (d *Dispatcher) Reconcile() {
 	if d.now >= d.subscribeAt {
 		d.subscribeAt = math.Inf(1)
-		d.actions.Subscribe(true)
+		d.actions.SubscribeWorkerList(true)
 	}
 	for _, err := range d.settingErrors {
 		d.actions.Log(err.Error() + "; the default is used")
@@ -16,17 +16,17 @@
 		rep.orderWanted = false
 		if rep.worker.State == Ready {
 			rep.orderPending, rep.startedAt = true, d.now
-			d.actions.Order(rep.worker.ID, rep.model.id, 1)
+			d.actions.LoadModel(rep.worker.ID, rep.model.id, 1)
 		}
 	}
 	for _, w := range d.wantedProbes {
-		d.actions.Probe(w.ID)
+		d.actions.ProbeWorker(w.ID)
 	}
 	for _, r := range d.changedRequests {
 		r.dirty = false
 		switch r.state {
 		case stateAttempt:
-			d.actions.Attempt(r.id, r.attempts[r.attempted-1].worker.ID, 0)
+			d.actions.SendAttempt(r.id, r.attempts[r.attempted-1].worker.ID, 0)
 			r.state = statePending
 		case stateShed:
 			d.actions.Shed(r.id, math.Min(r.model.loadTime, d.retryAfterMax))
@@ -40,7 +40,7 @@
 		}
 		for i := range r.attempts[:r.attempted] {
 			if a := &r.attempts[i]; a.state == attemptPending && d.cancel && !r.streaming {
-				d.actions.Cancel(r.id, i)
+				d.actions.CancelAttempt(r.id, i)
 			}
 		}
 		if r.pending == 0 && r.live {
@@ -51,6 +51,6 @@
 	d.changedRequests = d.changedRequests[:0]
 	if !d.timerSet && (len(d.inFlight.byID) > 0 || !math.IsInf(d.subscribeAt, 1)) {
 		d.timerSet = true
-		d.actions.Wake(sweepInterval, 0)
+		d.actions.SetTimer(sweepInterval, 0)
 	}
 }
--- a/control/retry.go
+++ b/control/retry.go
@@ -70,7 +70,7 @@
 // hedgeIfLate answers silence: a worker that answered none like it since an attempt far past its time, or is
 // gone or new, has failed it, and a hedge goes out where allowed; else the request is just heavy.
 func (d *Dispatcher) hedgeIfLate(r *request, a *attempt) {
-	lost := a.worker.State == Gone || a.sentAt <= a.worker.Start
+	lost := a.worker.State == Gone || a.sentAt <= a.worker.StartedAt
 	heard := a.worker.classes[r.class].answeredAt > a.sentAt
 	if !lost && (heard || d.now-a.sentAt < math.Max(hedgeDelay*a.expected, r.slo/2)) {
 		return
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -33,37 +33,37 @@
 	words map[string]string
 }
 
-var results = map[string]Result{"returned": Returned, "errored": Errored, "full": Full, "timed-out": TimedOut,
-	"no-connection": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "missed": Missed}
-var founds = map[string]Found{"": NotTold, "warm": FoundWarm, "began": BeganLoad, "waited": AwaitedLoad, "failed": LoadFailed}
+var results = map[string]Result{"returned": Succeeded, "errored": WorkerError, "full": AtCapacity, "timed-out": TimedOut,
+	"no-connection": ConnectFailed, "reset": ConnectionReset, "cancelled": Cancelled, "missed": ModelNotLoaded}
+var founds = map[string]ModelState{"": ModelStateUnknown, "warm": ModelWarm, "began": LoadStarted, "waited": LoadAwaited, "failed": LoadFailed}
 var states = map[string]WorkerState{"": Ready, "ready": Ready, "draining": Draining, "gone": Gone}
 
 func (p *player) say(f string, a ...any) { p.acts = append(p.acts, fmt.Sprintf(f, a...)) }
 
 func name(w WorkerID) string { return string(rune(w)) }
 
-func (p *player) Attempt(i RequestID, w WorkerID, _ Seconds) { p.say("attempt %d %s", i, name(w)) }
-func (p *player) Shed(i RequestID, back Seconds)             { p.say("shed %d %.1f", i, back) }
-func (p *player) Fail(i RequestID)                           { p.say("fail %d", i) }
-func (p *player) Cancel(i RequestID, f int)                  { p.say("cancel %d.%d", i, f) }
-func (p *player) Order(w WorkerID, m ModelID, n int)         { p.say("order %s %d %d", name(w), m, n) }
-func (p *player) Unload(w WorkerID, m ModelID)               { p.say("unload %s %d", name(w), m) }
-func (p *player) Probe(w WorkerID)                           { p.say("probe %s", name(w)) }
-func (p *player) CloseIdle(w WorkerID)                       { p.say("close %s", name(w)) }
-func (p *player) Tell(PeerID, []byte)                        { p.say("tell") }
-func (p *player) Subscribe(on bool)                          { p.say("subscribe %v", on) }
-func (p *player) FetchList()                                 { p.say("fetch") }
-func (p *player) Wake(after Seconds, _ TimerID)              { p.wakes = append(p.wakes, p.now+after) }
-func (p *player) Log(string)                                 {}
+func (p *player) SendAttempt(i RequestID, w WorkerID, _ Seconds) { p.say("attempt %d %s", i, name(w)) }
+func (p *player) Shed(i RequestID, back Seconds)                 { p.say("shed %d %.1f", i, back) }
+func (p *player) Fail(i RequestID)                               { p.say("fail %d", i) }
+func (p *player) CancelAttempt(i RequestID, f int)               { p.say("cancel %d.%d", i, f) }
+func (p *player) LoadModel(w WorkerID, m ModelID, n int)         { p.say("order %s %d %d", name(w), m, n) }
+func (p *player) UnloadModel(w WorkerID, m ModelID)              { p.say("unload %s %d", name(w), m) }
+func (p *player) ProbeWorker(w WorkerID)                         { p.say("probe %s", name(w)) }
+func (p *player) CloseIdleConnections(w WorkerID)                { p.say("close %s", name(w)) }
+func (p *player) SendPeerMessage(PeerID, []byte)                 { p.say("tell") }
+func (p *player) SubscribeWorkerList(on bool)                    { p.say("subscribe %v", on) }
+func (p *player) FetchWorkerList()                               { p.say("fetch") }
+func (p *player) SetTimer(after Seconds, _ TimerID)              { p.wakes = append(p.wakes, p.now+after) }
+func (p *player) Log(string)                                     {}
 
 // event plays one event at the present time.
 func (p *player) event(f func()) {
 	if p.d == nil {
 		p.d = New(7, p.set, p)
 	}
-	p.d.At(p.now)
+	p.d.SetNow(p.now)
 	f()
-	p.d.Settle()
+	p.d.Reconcile()
 }
 
 // options splits k=v words.
@@ -95,10 +95,10 @@
 			p.set[w[1]] = w[2]
 		}
 	case "workers":
-		kind, list := ListChanges, []WorkerInfo{}
+		kind, list := ListDelta, []WorkerInfo{}
 		for _, s := range w[1:] {
 			if s == "full" {
-				kind = ListComplete
+				kind = ListSnapshot
 				continue
 			}
 			o := options(strings.Split(s, ",")[1:])
@@ -106,9 +106,9 @@
 				s = v
 			}
 			list = append(list, WorkerInfo{ID: WorkerID(s[0]), Zone: ZoneID(num(o["zone"], 0)), State: states[o["state"]],
-				Cell: CellID(num(o["cell"], 0)), Weight: 1, Start: num(o["start"], math.Inf(-1))})
+				Cell: CellID(num(o["cell"], 0)), Weight: 1, StartedAt: num(o["start"], math.Inf(-1))})
 		}
-		p.event(func() { p.d.Workers(kind, 0, list) })
+		p.event(func() { p.d.UpdateWorkers(kind, 0, list) })
 	case "take":
 		o := options(w[2:])
 		first, last, span := strings.Cut(w[1], "-")
@@ -117,9 +117,9 @@
 		}
 		for i := num(first, 0); i <= num(last, 0); i++ {
 			q := Request{ID: RequestID(i), Model: ModelID(num(o["model"], 1)), Group: GroupID(num(o["group"], 0)),
-				Tenant: TenantID(num(o["tenant"], 0)), Lanes: num(o["lanes"], 4), Work: num(o["work"], 0),
-				Load: num(o["load"], 0), NotAfter: num(o["until"], p.now+5), Repeat: o["repeat"] != ""}
-			p.event(func() { p.d.Request(q) })
+				Tenant: TenantID(num(o["tenant"], 0)), Concurrency: num(o["lanes"], 4), WorkHint: num(o["work"], 0),
+				LoadTimeHint: num(o["load"], 0), Deadline: num(o["until"], p.now+5), ClientRetry: o["repeat"] != ""}
+			p.event(func() { p.d.RequestArrived(q) })
 		}
 	case "end":
 		i, f, _ := strings.Cut(w[1], ".")
@@ -128,8 +128,8 @@
 			found = w[3]
 		}
 		p.event(func() {
-			p.d.Outcome(Outcome{ID: RequestID(num(i, 0)), Attempt: int(num(f, 0)), Took: 0.1, Result: results[w[2]],
-				Found: founds[found], Final: w[2] == "returned"})
+			p.d.AttemptFinished(AttemptResult{ID: RequestID(num(i, 0)), Attempt: int(num(f, 0)), Duration: 0.1, Result: results[w[2]],
+				ModelState: founds[found], RequestAnswered: w[2] == "returned"})
 		})
 	case "ordered":
 		at := w[1]
@@ -137,13 +137,13 @@
 			at = v
 		}
 		p.event(func() {
-			p.d.Ordered(OrderResult{Worker: WorkerID(at[0]), Model: ModelID(num(w[2], 0)), Result: results[w[3]],
-				Took: 1, Copies: int(num(w[4], 0))})
+			p.d.LoadFinished(LoadResult{Worker: WorkerID(at[0]), Model: ModelID(num(w[2], 0)), Result: results[w[3]],
+				Duration: 1, Replicas: int(num(w[4], 0))})
 		})
 	case "leave":
-		p.event(func() { p.d.Withdrawn(RequestID(num(w[1], 0))) })
+		p.event(func() { p.d.RequestCancelled(RequestID(num(w[1], 0))) })
 	case "asked-failed":
-		p.event(func() { p.d.Workers(ListFailed, 0, nil) })
+		p.event(func() { p.d.UpdateWorkers(ListFailed, 0, nil) })
 	case "wait":
 		for end := p.now + num(w[1], 0); ; {
 			if len(p.wakes) == 0 || p.wakes[0] > end {
@@ -151,7 +151,7 @@
 				break
 			}
 			p.now, p.wakes = p.wakes[0], p.wakes[1:]
-			p.event(func() { p.d.Timer(0) })
+			p.event(func() { p.d.TimerFired(0) })
 		}
 	case "expect":
 		if len(p.acts) == 0 {
@@ -243,18 +243,18 @@
 		p.play(line)
 	}
 	d := New(7, p.set, quiet{})
-	list := []WorkerInfo{{ID: 1, State: Ready, Start: math.Inf(-1)}, {ID: 2, State: Ready, Start: math.Inf(-1)}}
-	d.Workers(ListComplete, 0, list)
+	list := []WorkerInfo{{ID: 1, State: Ready, StartedAt: math.Inf(-1)}, {ID: 2, State: Ready, StartedAt: math.Inf(-1)}}
+	d.UpdateWorkers(ListSnapshot, 0, list)
 	id, now := RequestID(0), 0.0
 	round := func() {
 		now += 0.01
 		id++
-		d.At(now)
-		d.Request(Request{ID: id, Model: 3, Lanes: 4, NotAfter: now + 5})
-		d.Settle()
-		d.Outcome(Outcome{ID: id, Took: 0.01, Found: FoundWarm, Final: true})
-		d.Timer(0)
-		d.Settle()
+		d.SetNow(now)
+		d.RequestArrived(Request{ID: id, Model: 3, Concurrency: 4, Deadline: now + 5})
+		d.Reconcile()
+		d.AttemptFinished(AttemptResult{ID: id, Duration: 0.01, ModelState: ModelWarm, RequestAnswered: true})
+		d.TimerFired(0)
+		d.Reconcile()
 	}
 	for range 100 {
 		round()
@@ -267,5 +267,5 @@
 // quiet takes the actions of the ordinary path and does nothing.
 type quiet struct{ Actions }
 
-func (quiet) Attempt(RequestID, WorkerID, Seconds) {}
-func (quiet) Wake(Seconds, TimerID)                {}
+func (quiet) SendAttempt(RequestID, WorkerID, Seconds) {}
+func (quiet) SetTimer(Seconds, TimerID)                {}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -68,8 +68,8 @@
 		}
 		log := &logged{}
 		d := New(1, s, log)
-		d.Settle()
-		d.Settle()
+		d.Reconcile()
+		d.Reconcile()
 		if len(log.lines) != 1 || !strings.Contains(log.lines[0], name) || d.groups[0].effect != "non-retriable" {
 			t.Errorf("%s = %v: %q, %s", name, v, log.lines, d.groups[0].effect)
 		}
@@ -100,12 +100,12 @@
 // TestValuesThatAreNoNumbers hands in figures that are no numbers: the request is answered all the same, and a report
 // with one changes nothing.
 func TestValuesThatAreNoNumbers(t *testing.T) {
-	for _, q := range []Request{{NotAfter: math.NaN()}, {NotAfter: math.Inf(1)}, {NotAfter: 3, Load: math.Inf(1)},
-		{NotAfter: 3, Load: math.NaN(), Work: math.NaN()}, {NotAfter: math.Inf(-1)}} {
+	for _, q := range []Request{{Deadline: math.NaN()}, {Deadline: math.Inf(1)}, {Deadline: 3, LoadTimeHint: math.Inf(1)},
+		{Deadline: 3, LoadTimeHint: math.NaN(), WorkHint: math.NaN()}, {Deadline: math.Inf(-1)}} {
 		p := usualPlayer(t, func(s Settings) { s["groups.0.timeout"] = 2.0 })
 		p.play("workers A")
 		q.ID = 1
-		p.event(func() { p.d.Request(q) })
+		p.event(func() { p.d.RequestArrived(q) })
 		p.play("wait 2.1")
 		if n := p.attempts(); n > 1 || len(p.acts) < 1 || !strings.HasPrefix(p.acts[n], "shed 1") {
 			t.Errorf("%+v: %q", q, p.acts)
@@ -116,10 +116,10 @@
 	})
 	p.play("workers A B")
 	p.event(func() {
-		p.d.Probed(ProbeResult{Worker: 'A', Report: []float64{math.NaN()}})
-		p.d.Probed(ProbeResult{Worker: 'A', Report: []float64{math.Inf(1)}})
-		p.d.Probed(ProbeResult{Worker: 'A', Report: []float64{-4}})
-		p.d.Probed(ProbeResult{Worker: 'A', Report: nil})
+		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: []float64{math.NaN()}})
+		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: []float64{math.Inf(1)}})
+		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: []float64{-4}})
+		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: nil})
 	})
 	if w := p.d.workersByID['A']; w.reported != 0 || w.reportedAt != math.Inf(-1) {
 		t.Errorf("held %g, as of %g", w.reported, w.reportedAt)
--- a/control/state.go
+++ b/control/state.go
@@ -128,28 +128,28 @@
 
 // The events that call for nothing but a note.
 
-// At sets the clock for the events of that moment.
-func (d *Dispatcher) At(now Seconds) { d.now = now }
+// SetNow sets the clock for the events of that moment.
+func (d *Dispatcher) SetNow(now Seconds) { d.now = now }
 
-// Withdrawn takes note that the client left.
-func (d *Dispatcher) Withdrawn(id RequestID) {
+// RequestCancelled takes note that the client left.
+func (d *Dispatcher) RequestCancelled(id RequestID) {
 	if r := d.inFlight.lookup(id); r != nil && r.state != stateDone {
 		d.finish(r)
 	}
 }
 
-// Streaming takes note that the answer has begun: the attempt is the client's now.
-func (d *Dispatcher) Streaming(id RequestID, _ int, _ WorkerID, _ Seconds) {
+// ResponseStarted takes note that the answer has begun: the attempt is the client's now.
+func (d *Dispatcher) ResponseStarted(id RequestID, _ int, _ WorkerID, _ Seconds) {
 	if r := d.inFlight.lookup(id); r != nil {
 		r.streaming = true
 	}
 }
 
-// Told takes a note of a peer; none is needed so far.
-func (d *Dispatcher) Told(PeerID, []byte) {}
+// PeerMessageReceived takes a note of a peer; none is needed so far.
+func (d *Dispatcher) PeerMessageReceived(PeerID, []byte) {}
 
-// Timer has all in flight looked at.
-func (d *Dispatcher) Timer(TimerID) {
+// TimerFired has all in flight looked at.
+func (d *Dispatcher) TimerFired(TimerID) {
 	d.timerSet = false
 	d.inFlight.shrink(tableMin)
 	d.sweep()
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -37,57 +37,57 @@
 
 func (w *drawn) after(s Seconds, f func()) { w.due = append(w.due, due{w.now + s, len(w.due), f}) }
 
-func (w *drawn) Attempt(i RequestID, to WorkerID, _ Seconds) {
+func (w *drawn) SendAttempt(i RequestID, to WorkerID, _ Seconds) {
 	w.say("attempt %d %d", i, to)
 	f := w.n[i]
 	w.n[i]++
-	o := Outcome{ID: i, Attempt: f, Worker: to, Crowd: -1, Took: 0.02 + w.rnd.ExpFloat64()*0.08, Report: []float64{float64(w.rnd.IntN(9)), 1}}
+	o := AttemptResult{ID: i, Attempt: f, Worker: to, SameModelInFlight: -1, Duration: 0.02 + w.rnd.ExpFloat64()*0.08, LoadReport: []float64{float64(w.rnd.IntN(9)), 1}}
 	switch w.rnd.IntN(12) {
 	case 0:
-		o.Result = Full
+		o.Result = AtCapacity
 	case 1:
-		o.Result = []Result{Errored, Reset, ConnectFailed, TimedOut}[w.rnd.IntN(4)]
+		o.Result = []Result{WorkerError, ConnectionReset, ConnectFailed, TimedOut}[w.rnd.IntN(4)]
 	case 2:
-		o.Result, o.Took = Missed, 0.002
+		o.Result, o.Duration = ModelNotLoaded, 0.002
 	case 3:
-		o.Took = 2
+		o.Duration = 2
 	default:
-		o.Found = []Found{FoundWarm, FoundWarm, FoundWarm, BeganLoad, AwaitedLoad}[w.rnd.IntN(5)]
-		if o.Found != FoundWarm {
-			o.Took += 0.5
+		o.ModelState = []ModelState{ModelWarm, ModelWarm, ModelWarm, LoadStarted, LoadAwaited}[w.rnd.IntN(5)]
+		if o.ModelState != ModelWarm {
+			o.Duration += 0.5
 		}
 	}
 	if int(to)%7 == 3 && math.Mod(w.now, 6) > 4 { // silence now and then
-		o.Took += 4
+		o.Duration += 4
 	}
-	w.after(o.Took, func() {
-		o.Final = w.final[i] || o.Result == Returned
-		w.final[i] = o.Final
-		w.d.Outcome(o)
+	w.after(o.Duration, func() {
+		o.RequestAnswered = w.final[i] || o.Result == Succeeded
+		w.final[i] = o.RequestAnswered
+		w.d.AttemptFinished(o)
 	})
 }
-func (w *drawn) Shed(i RequestID, s Seconds) { w.say("shed %d %.4f", i, s); w.final[i] = true }
-func (w *drawn) Fail(i RequestID)            { w.say("fail %d", i); w.final[i] = true }
-func (w *drawn) Cancel(i RequestID, f int)   { w.say("cancel %d.%d", i, f) }
-func (w *drawn) Order(to WorkerID, m ModelID, n int) {
+func (w *drawn) Shed(i RequestID, s Seconds)      { w.say("shed %d %.4f", i, s); w.final[i] = true }
+func (w *drawn) Fail(i RequestID)                 { w.say("fail %d", i); w.final[i] = true }
+func (w *drawn) CancelAttempt(i RequestID, f int) { w.say("cancel %d.%d", i, f) }
+func (w *drawn) LoadModel(to WorkerID, m ModelID, n int) {
 	w.say("order %d %d %d", to, m, n)
-	r := OrderResult{Worker: to, Model: m, Took: 0.2 + w.rnd.Float64(), Copies: 1}
+	r := LoadResult{Worker: to, Model: m, Duration: 0.2 + w.rnd.Float64(), Replicas: 1}
 	if w.rnd.IntN(6) == 0 {
-		r.Result, r.Copies = Full, 0
+		r.Result, r.Replicas = AtCapacity, 0
 	}
-	w.after(r.Took, func() { w.d.Ordered(r) })
+	w.after(r.Duration, func() { w.d.LoadFinished(r) })
 }
-func (w *drawn) Unload(to WorkerID, m ModelID) { w.say("unload %d %d", to, m) }
-func (w *drawn) Probe(to WorkerID) {
+func (w *drawn) UnloadModel(to WorkerID, m ModelID) { w.say("unload %d %d", to, m) }
+func (w *drawn) ProbeWorker(to WorkerID) {
 	w.say("probe %d", to)
-	w.after(0.003, func() { w.d.Probed(ProbeResult{Worker: to, Report: []float64{float64(w.rnd.IntN(9)), 1}}) })
+	w.after(0.003, func() { w.d.ProbeFinished(ProbeResult{Worker: to, LoadReport: []float64{float64(w.rnd.IntN(9)), 1}}) })
 }
-func (w *drawn) CloseIdle(WorkerID)  {}
-func (w *drawn) Tell(PeerID, []byte) {}
-func (w *drawn) Subscribe(on bool)   { w.say("subscribe %v", on) }
-func (w *drawn) FetchList()          { w.say("fetch") }
-func (w *drawn) Wake(s Seconds, t TimerID) {
-	w.after(s, func() { w.d.Timer(t) })
+func (w *drawn) CloseIdleConnections(WorkerID)  {}
+func (w *drawn) SendPeerMessage(PeerID, []byte) {}
+func (w *drawn) SubscribeWorkerList(on bool)    { w.say("subscribe %v", on) }
+func (w *drawn) FetchWorkerList()               { w.say("fetch") }
+func (w *drawn) SetTimer(s Seconds, t TimerID) {
+	w.after(s, func() { w.d.TimerFired(t) })
 }
 func (w *drawn) Log(string) {}
 
@@ -113,11 +113,11 @@
 	w.d = New(seed, s, w)
 	list := make([]WorkerInfo, workers)
 	for i := range list {
-		list[i] = WorkerInfo{ID: WorkerID(1000 + i), Zone: ZoneID(i % 3), Cell: CellID(i % 2), State: Ready, Weight: 1, Start: math.Inf(-1)}
+		list[i] = WorkerInfo{ID: WorkerID(1000 + i), Zone: ZoneID(i % 3), Cell: CellID(i % 2), State: Ready, Weight: 1, StartedAt: math.Inf(-1)}
 	}
-	w.d.At(0)
-	w.d.Workers(ListComplete, 1, list)
-	w.d.Settle()
+	w.d.SetNow(0)
+	w.d.UpdateWorkers(ListSnapshot, 1, list)
+	w.d.Reconcile()
 	rate := float64(workers) * (1 + 8*rnd.Float64())
 	if fellows > 2 {
 		rate /= 20
@@ -129,19 +129,19 @@
 		id++
 		i := id
 		m := ModelID(float64(models) * math.Pow(rnd.Float64(), 2.5))
-		q := Request{ID: i, Model: m, Group: GroupID(m % 3), Tenant: TenantID(rnd.IntN(3)), NotAfter: math.Inf(1), Repeat: rnd.IntN(9) == 0}
+		q := Request{ID: i, Model: m, Group: GroupID(m % 3), Tenant: TenantID(rnd.IntN(3)), Deadline: math.Inf(1), ClientRetry: rnd.IntN(9) == 0}
 		if rnd.IntN(2) == 0 {
-			q.NotAfter = w.now + 0.02 + 2*rnd.Float64()
+			q.Deadline = w.now + 0.02 + 2*rnd.Float64()
 		}
 		if rnd.IntN(3) == 0 {
-			q.Load, q.Work = rnd.Float64(), 0.1*rnd.Float64()
+			q.LoadTimeHint, q.WorkHint = rnd.Float64(), 0.1*rnd.Float64()
 		}
-		w.d.Request(q)
+		w.d.RequestArrived(q)
 		if rnd.IntN(25) == 0 {
 			w.after(0.3*rnd.Float64(), func() {
 				if !w.final[i] {
 					w.final[i] = true
-					w.d.Withdrawn(i)
+					w.d.RequestCancelled(i)
 				}
 			})
 		}
@@ -157,11 +157,11 @@
 		case 1:
 			l.State = Gone
 		case 2:
-			l.Start, l.State = w.now, Ready
+			l.StartedAt, l.State = w.now, Ready
 		default:
 			l.State = Ready
 		}
-		w.d.Workers(ListChanges, 2, []WorkerInfo{*l})
+		w.d.UpdateWorkers(ListDelta, 2, []WorkerInfo{*l})
 		w.after(rnd.ExpFloat64()*0.7, change)
 	}
 	w.after(1, change)
@@ -170,9 +170,9 @@
 		e := w.due[0]
 		w.due = w.due[1:]
 		w.now = math.Max(w.now, e.at)
-		w.d.At(w.now)
+		w.d.SetNow(w.now)
 		e.f()
-		w.d.Settle()
+		w.d.Reconcile()
 		if settled != nil {
 			settled(w)
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -136,8 +136,8 @@
 		state   string
 	}
 	v, err := ask(r.Context(), a, func() (v result) {
-		if v.err = a.g.Rule(e); v.err == nil {
-			v.state = a.g.Members.Named(e.Name).StateName() // a stricter word of another source holds
+		if v.err = a.g.SetAdminState(e); v.err == nil {
+			v.state = a.g.Members.ByName(e.Name).StateName() // a stricter word of another source holds
 		}
 		v.version = a.g.Members.Version
 		return v
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -15,9 +15,9 @@
 	"mastchute/control"
 	"mastchute/internal/admin"
 	"mastchute/internal/config"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
 	"mastchute/internal/lifecycle"
-	"mastchute/internal/loop"
 	"mastchute/internal/membership"
 )
 
@@ -54,7 +54,7 @@
 type Dispatcher struct {
 	Gateway *gateway.Gateway
 	Admin   *admin.Admin // nil when off
-	Loop    *loop.Loop
+	Loop    *eventloop.Loop
 	cfg     *config.Config
 	log     zerolog.Logger
 	ended   chan error
@@ -63,17 +63,17 @@
 }
 
 // Start makes a dispatcher and runs its loop on a goroutine of its own.
-func Start(cfg *config.Config, log zerolog.Logger, start gateway.Start) (*Dispatcher, error) {
+func Start(cfg *config.Config, log zerolog.Logger, start gateway.NewModule) (*Dispatcher, error) {
 	if start == nil {
 		start = func(seed uint64, s control.Settings, a control.Actions) control.Module {
 			return control.New(seed, s, a)
 		}
 	}
-	l, err := loop.New(cfg.Limits.Connections)
+	l, err := eventloop.New(cfg.Limits.Connections)
 	if err != nil {
 		return nil, err
 	}
-	g, err := gateway.New(l, cfg, log, start)
+	g, err := gateway.NewHTTP(l, cfg, log, start)
 	if err != nil {
 		l.Close()
 		return nil, err
@@ -143,19 +143,19 @@
 			if d.Admin != nil {
 				d.Admin.Close()
 			}
-			exit := d.Gateway.Exit()
+			exit := d.Gateway.ExitStatus()
 			switch {
 			case err != nil:
 				log.Error().Err(err).Msg("the loop failed")
 				return ExitCrash
-			case exit.Crash != "":
+			case exit.PanicMessage != "":
 				return ExitCrash
-			case exit.Failed > 0:
+			case exit.FailedRequests > 0:
 				return ExitStopped
 			}
 			return ExitOK
 		case <-sig.Dump:
-			d.Loop.Post(func() { d.Gateway.Dump("signal") })
+			d.Loop.Post(func() { d.Gateway.DumpFlightRecorder("signal") })
 		case <-every.C:
 			w.look()
 		case <-sig.Reload:
@@ -179,13 +179,13 @@
 	retry := lifecycle.NewRetry(time.Now(), startFor)
 	for {
 		d, err := Start(cfg, log, nil)
-		if err == nil || !lifecycle.Passing(err) {
+		if err == nil || !lifecycle.IsTransient(err) {
 			return d, err
 		}
 		switch sig.Await(&retry, startFor, nil) {
-		case lifecycle.GiveUp:
+		case lifecycle.RetriesExhausted:
 			return nil, err
-		case lifecycle.Stopped:
+		case lifecycle.StopRequested:
 			return nil, nil
 		}
 	}
@@ -200,7 +200,7 @@
 	n, err := config.Load(file)
 	var list []membership.Entry
 	if err == nil {
-		list, err = gateway.Entries(n.Workers)
+		list, err = gateway.MembershipEntries(n.Workers)
 	}
 	if err != nil {
 		if why := err.Error(); why != d.badSettings { // told once, not at every try
@@ -219,7 +219,7 @@
 	w.file = n.Roster.File
 	d.log.Info().Strs("need_restart", d.cfg.Changed(n)).Msg("settings reloaded: workers, models, log level and sample, roster file")
 	d.Loop.Post(func() {
-		if err := d.Gateway.Replace(membership.Config, list); err != nil {
+		if err := d.Gateway.ReplaceWorkers(membership.SourceConfig, list); err != nil {
 			log.Error().Err(err).Msg("workers not taken")
 		}
 		d.Gateway.SetModels(n.Models)
@@ -251,11 +251,11 @@
 		var list []config.Worker
 		if list, err = config.ParseWorkers(w.file, text); err == nil {
 			var entries []membership.Entry
-			if entries, err = gateway.Entries(list); err == nil {
+			if entries, err = gateway.MembershipEntries(list); err == nil {
 				w.last, w.bad = sum, ""
 				w.d.Loop.Post(func() {
-					if err := w.d.Gateway.Replace(membership.File, entries); err != nil {
-						w.d.Gateway.ListFailed(err)
+					if err := w.d.Gateway.ReplaceWorkers(membership.SourceFile, entries); err != nil {
+						w.d.Gateway.WorkerListFailed(err)
 					}
 				})
 				return
@@ -264,6 +264,6 @@
 	}
 	if why := err.Error(); why != w.bad { // told once, not at every look
 		w.bad = why
-		w.d.Loop.Post(func() { w.d.Gateway.ListFailed(err) })
+		w.d.Loop.Post(func() { w.d.Gateway.WorkerListFailed(err) })
 	}
 }
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -20,8 +20,8 @@
 
 	"mastchute/internal/app"
 	"mastchute/internal/cli"
-	"mastchute/internal/loop"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
+	"mastchute/internal/eventloop"
 )
 
 func TestMain(m *testing.M) {
@@ -149,9 +149,9 @@
 }
 
 // fleet runs stand-ins in this process.
-func fleet(t *testing.T, n int) *standin.Server {
+func fleet(t *testing.T, n int) *emulator.Server {
 	t.Helper()
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 	for range n {
 		at = append(at, free)
 	}
-	s, err := standin.NewServer(l, app.DemoSpec(n, app.DemoModels), at, free, nil, false)
+	s, err := emulator.NewServer(l, app.DemoSpec(n, app.DemoModels), at, free, nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 	return strings.Join(out, ", ")
 }
 
-func worker(name string, s *standin.Server, i int) string {
+func worker(name string, s *emulator.Server, i int) string {
 	return fmt.Sprintf("  - {name: %s, address: %q}\n", name, s.Addr(i))
 }
 
--- a/internal/app/demo.go
+++ b/internal/app/demo.go
@@ -9,21 +9,21 @@
 	"time"
 
 	"mastchute/internal/config"
-	"mastchute/internal/loop"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
+	"mastchute/internal/eventloop"
 )
 
 // DemoModels are what the stand-ins of a demonstration serve.
-var DemoModels = []standin.ModelSpec{
+var DemoModels = []emulator.ModelSpec{
 	{Name: "species-fern", Group: "read", MemoryMB: 300, Lanes: 4, Work: 0.05, Fetch: 0.4, Boot: 0.2},
 	{Name: "label-print", Group: "write", MemoryMB: 200, Lanes: 2, Work: 0.08, Fetch: 0.3, Boot: 0.2, Deduped: true},
 }
 
 // DemoSpec is a fleet of n stand-ins that serve the models.
-func DemoSpec(n int, models []standin.ModelSpec) standin.Spec {
-	s := standin.Spec{Models: models, Store: standin.StoreSpec{Slots: 4, Limit: 16}, Seed: 1}
+func DemoSpec(n int, models []emulator.ModelSpec) emulator.Spec {
+	s := emulator.Spec{Models: models, Store: emulator.StoreSpec{Slots: 4, Limit: 16}, Seed: 1}
 	for i := range n {
-		s.Workers = append(s.Workers, standin.WorkerSpec{Name: fmt.Sprintf("w%d", i+1), Cores: 4, Speed: 1, MemoryMB: 2000, Queue: 64,
+		s.Workers = append(s.Workers, emulator.WorkerSpec{Name: fmt.Sprintf("w%d", i+1), Cores: 4, Speed: 1, MemoryMB: 2000, Queue: 64,
 			Loads: 4, OnMiss: "load", Keep: 60, Disk: true, StopsCancelled: true, ColdShare: 0.2, WarmAfter: 15, Overload: 2, Fall: 1, DedupWindow: 10})
 	}
 	return s
@@ -31,13 +31,13 @@
 
 // Demo runs a dispatcher with three stand-ins on loopback, for the given seconds (0: until interrupted).
 func Demo(listen, adminAt string, seconds float64, out io.Writer) int {
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		fmt.Fprintln(out, err)
 		return ExitError
 	}
 	free := netip.MustParseAddrPort("127.0.0.1:0")
-	s, err := standin.NewServer(l, DemoSpec(3, DemoModels), []netip.AddrPort{free, free, free}, free, nil, false)
+	s, err := emulator.NewServer(l, DemoSpec(3, DemoModels), []netip.AddrPort{free, free, free}, free, nil, false)
 	if err != nil {
 		fmt.Fprintln(out, err)
 		return ExitError
@@ -76,7 +76,7 @@
 
 func kinds() []string {
 	var out []string
-	for k := range standin.Kinds {
+	for k := range emulator.Kinds {
 		out = append(out, k)
 	}
 	slices.Sort(out)
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"mastchute/internal/app"
+	"mastchute/internal/emulator"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/lab"
-	"mastchute/internal/loop"
-	"mastchute/internal/standin"
 )
 
 type labCmd struct {
@@ -262,11 +262,11 @@
 		defer w.Flush()
 		records = w
 	}
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		return err
 	}
-	s, err := standin.NewServer(l, spec, at, ctl, records, c.Cold)
+	s, err := emulator.NewServer(l, spec, at, ctl, records, c.Cold)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/model.go
+++ b/internal/emulator/model.go
@@ -1,7 +1,7 @@
-// Package standin plays workers and their shared model store on loopback, for demonstrations, tests and days in the
+// Package emulator plays workers and their shared model store on loopback, for demonstrations, tests and days in the
 // laboratory. Fleet is the pure model: cores, memory, copies, lanes, queues, loads, cold starts, faults; no I/O, no
 // clock, seeded chance. Server puts it on sockets.
-package standin
+package emulator
 
 import (
 	"cmp"
--- a/internal/standin/model_test.go
+++ b/internal/emulator/model_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"math"
--- a/internal/standin/server.go
+++ b/internal/emulator/server.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
 )
 
 // Record is one line of what a stand-in saw on its sockets. Times are seconds since 1970.
@@ -45,13 +45,13 @@
 
 // Server plays a fleet on one loop: a listener for each worker, and one for faults.
 type Server struct {
-	Loop    *loop.Loop
+	Loop    *eventloop.Loop
 	fleet   *Fleet
 	records io.Writer
 	epoch   float64
 	ports   []*port
-	timer   loop.Timer
-	control *h1.Server
+	timer   eventloop.Timer
+	control *httpconn.Server
 	encoder *json.Encoder
 }
 
@@ -60,12 +60,12 @@
 	s    *Server
 	i    int
 	addr netip.AddrPort
-	srv  *h1.Server
+	srv  *httpconn.Server
 }
 
 // call is what is known of a request while it is in flight.
 type call struct {
-	x          *h1.Exchange
+	x          *httpconn.Exchange
 	req        Req
 	port       *port
 	request    string
@@ -75,15 +75,15 @@
 
 // NewServer listens for every worker at the given addresses (port 0 takes a free one) and for faults at ctl, which
 // may be invalid for none. records gets one JSON line for each event; it may be nil.
-func NewServer(l *loop.Loop, spec Spec, at []netip.AddrPort, ctl netip.AddrPort, records io.Writer, cold bool) (*Server, error) {
+func NewServer(l *eventloop.Loop, spec Spec, at []netip.AddrPort, ctl netip.AddrPort, records io.Writer, cold bool) (*Server, error) {
 	s := &Server{Loop: l, fleet: NewFleet(spec, cold), records: records}
 	s.epoch, _ = l.WallClock()
 	if records != nil {
 		s.encoder = json.NewEncoder(records)
 	}
 	s.fleet.Log = s.log
-	s.fleet.Vanished = func(i int) { l.Later(func() { s.ports[i].srv.Close() }) }
-	s.fleet.Returned = func(i int) { l.Later(func() { s.ports[i].listen() }) }
+	s.fleet.Vanished = func(i int) { l.Defer(func() { s.ports[i].srv.Close() }) }
+	s.fleet.Returned = func(i int) { l.Defer(func() { s.ports[i].listen() }) }
 	s.timer.Fire = s.tick
 	if cold {
 		for _, w := range s.fleet.workers {
@@ -99,7 +99,7 @@
 		s.ports = append(s.ports, p)
 	}
 	if ctl.IsValid() {
-		c, err := h1.NewServer(l, ctl, &controls{s}, h1.ServerOptions{})
+		c, err := httpconn.NewServer(l, ctl, &controls{s}, httpconn.ServerOptions{})
 		if err != nil {
 			return nil, err
 		}
@@ -125,7 +125,7 @@
 }
 
 func (p *port) listen() (err error) {
-	p.srv, err = h1.NewServer(p.s.Loop, p.addr, p, h1.ServerOptions{IdleTimeout: 3600})
+	p.srv, err = httpconn.NewServer(p.s.Loop, p.addr, p, httpconn.ServerOptions{IdleTimeout: 3600})
 	return err
 }
 
@@ -143,26 +143,26 @@
 	s.encoder.Encode(rec)
 }
 
-// Begin implements h1.Service.
-func (p *port) Begin(x *h1.Exchange) bool { return false }
+// HeadReceived implements httpconn.Service.
+func (p *port) HeadReceived(x *httpconn.Exchange) bool { return false }
 
-// Refused implements h1.Service.
-func (p *port) Refused(*http1.Error) {}
+// RequestRefused implements httpconn.Service.
+func (p *port) RequestRefused(*httpcodec.Error) {}
 
-// Drained implements h1.Service.
-func (p *port) Drained(*h1.Exchange) {}
+// StreamWritable implements httpconn.Service.
+func (p *port) StreamWritable(*httpconn.Exchange) {}
 
-// Left implements h1.Service.
-func (p *port) Left(x *h1.Exchange) {
-	if c, ok := x.Owner.(*call); ok && c.x == x {
+// ClientGone implements httpconn.Service.
+func (p *port) ClientGone(x *httpconn.Exchange) {
+	if c, ok := x.ServiceState.(*call); ok && c.x == x {
 		c.x = nil
 		p.s.fleet.Cancel(p.s.Loop.Now(), &c.req)
 		p.s.after()
 	}
 }
 
-// Request implements h1.Service.
-func (p *port) Request(x *h1.Exchange) {
+// RequestReceived implements httpconn.Service.
+func (p *port) RequestReceived(x *httpconn.Exchange) {
 	s, h := p.s, &x.Head
 	target := string(h.Target)
 	name, verb, _ := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(target, "/v2/repository"), "/v2/models/"), "/")
@@ -172,7 +172,7 @@
 	c := &call{x: x, port: p, dispatcher: string(h.Get("mastchute-dispatcher")), request: string(h.Get("mastchute-inference"))}
 	c.attempt, _ = strconv.Atoi(string(h.Get("mastchute-forward")))
 	c.req = Req{Owner: c, Model: name, Key: string(h.Get("idempotency-key")), Tenant: string(h.Get("mastchute-tenant"))}
-	x.Owner = c
+	x.ServiceState = c
 	switch {
 	case verb == "infer":
 		if t, err := strconv.ParseFloat(string(h.Get("mastchute-timeout")), 64); err == nil {
@@ -188,17 +188,17 @@
 		}
 	case verb == "unload":
 		s.fleet.Unload(s.Loop.Now(), p.i, name)
-		x.Finish(p.headers(x.Start(200)), nil)
+		x.FinishResponse(p.headers(x.StartResponse(200)), nil)
 		return
 	case target == "/v2/load":
-		x.Finish(p.headers(x.Start(200)), nil)
+		x.FinishResponse(p.headers(x.StartResponse(200)), nil)
 		return
 	default:
 		x.Problem(404, "no such path")
 		return
 	}
 	if s.fleet.Has(p.i, "slow_connect") {
-		t := &loop.Timer{Fire: func() { p.arrive(c) }}
+		t := &eventloop.Timer{Fire: func() { p.arrive(c) }}
 		s.Loop.Start(t, 0.2)
 		return
 	}
@@ -257,9 +257,9 @@
 	p, r := c.port, &c.req
 	switch r.Verdict {
 	case Served:
-		b := p.headers(x.Start(200))
+		b := p.headers(x.StartResponse(200))
 		if r.Order > 0 {
-			x.Finish(fmt.Appendf(b, "Mastchute-Copies: %d\r\n", r.Copies), nil)
+			x.FinishResponse(fmt.Appendf(b, "Mastchute-Copies: %d\r\n", r.Copies), nil)
 			return
 		}
 		b = fmt.Appendf(b, "Content-Type: application/json\r\nMastchute-Found: %s\r\nMastchute-Crowd: %d\r\n", r.Found, r.Crowd)
@@ -268,44 +268,44 @@
 			body = append(body, make([]byte, m.AnswerBytes-len(body))...)
 		}
 		if r.Reset || r.Cut {
-			x.Stream(b, int64(len(body)+100))
-			x.Write(body)
+			x.StartStream(b, int64(len(body)+100))
+			x.WriteStream(body)
 			if r.Cut {
 				x.CloseAfter()
-				x.End()
+				x.EndStream()
 			} else {
-				s.Loop.Later(func() { s.Loop.Later(x.Break) }) // after the bytes have gone out
+				s.Loop.Defer(func() { s.Loop.Defer(x.AbortStream) }) // after the bytes have gone out
 			}
 			return
 		}
-		x.Finish(b, body)
+		x.FinishResponse(b, body)
 	case TurnFull, TurnMiss:
 		why := "full"
 		if r.Verdict == TurnMiss {
 			why = "miss"
 		}
-		b := fmt.Appendf(p.headers(x.Start(503)), "Mastchute-Ran: no\r\nMastchute-Why: %s\r\n", why)
+		b := fmt.Appendf(p.headers(x.StartResponse(503)), "Mastchute-Ran: no\r\nMastchute-Why: %s\r\n", why)
 		if r.Found == "failed" {
 			b = append(b, "Mastchute-Found: failed\r\n"...)
 		}
 		if r.Order > 0 {
 			b = fmt.Appendf(b, "Mastchute-Copies: %d\r\n", r.Copies)
 		}
-		x.Finish(b, nil)
+		x.FinishResponse(b, nil)
 	case Broke:
-		x.Finish(p.headers(x.Start(500)), []byte("error\n"))
+		x.FinishResponse(p.headers(x.StartResponse(500)), []byte("error\n"))
 	}
 }
 
 // controls serves POST /fault with a Fault as JSON.
 type controls struct{ s *Server }
 
-func (c *controls) Begin(*h1.Exchange) bool { return false }
-func (c *controls) Refused(*http1.Error)    {}
-func (c *controls) Drained(*h1.Exchange)    {}
-func (c *controls) Left(*h1.Exchange)       {}
+func (c *controls) HeadReceived(*httpconn.Exchange) bool { return false }
+func (c *controls) RequestRefused(*httpcodec.Error)      {}
+func (c *controls) StreamWritable(*httpconn.Exchange)    {}
+func (c *controls) ClientGone(*httpconn.Exchange)        {}
 
-func (c *controls) Request(x *h1.Exchange) {
+func (c *controls) RequestReceived(x *httpconn.Exchange) {
 	var f Fault
 	if err := json.Unmarshal(x.Body, &f); err != nil || string(x.Head.Target) != "/fault" {
 		x.Problem(400, "write POST /fault with kind, worker, share, factor, span, what")
@@ -315,5 +315,5 @@
 		x.Problem(404, "no such kind or worker")
 		return
 	}
-	x.Finish(x.Start(200), nil)
+	x.FinishResponse(x.StartResponse(200), nil)
 }
--- a/internal/standin/spec.go
+++ b/internal/emulator/spec.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 // Spec describes a fleet. Spans are seconds, memory is MB.
 type Spec struct {
--- a/internal/loop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"fmt"
@@ -47,17 +47,17 @@
 // Open tells whether the connection is up or coming up.
 func (c *Conn) Open() bool { return c.fd >= 0 && !c.linger }
 
-// Up tells whether the connection is established.
-func (c *Conn) Up() bool { return c.up }
+// Established tells whether the connection is established.
+func (c *Conn) Established() bool { return c.up }
 
-// Sent counts the bytes the kernel has taken, Queued those and the ones that still wait.
-func (c *Conn) Sent() uint64 { return c.total }
+// SentBytes counts the bytes the kernel has taken, Queued those and the ones that still wait.
+func (c *Conn) SentBytes() uint64 { return c.total }
 
-// Queued counts all bytes ever written to the connection.
-func (c *Conn) Queued() uint64 { return c.total + uint64(len(c.out)-c.sent) }
+// WrittenBytes counts all bytes ever written to the connection.
+func (c *Conn) WrittenBytes() uint64 { return c.total + uint64(len(c.out)-c.sent) }
 
-// Waiting is how many written bytes the kernel has not taken.
-func (c *Conn) Waiting() int { return len(c.out) - c.sent }
+// UnsentBytes is how many written bytes the kernel has not taken.
+func (c *Conn) UnsentBytes() int { return len(c.out) - c.sent }
 
 // Write queues bytes; they go out at the end of the turn. b may be used again at once.
 func (c *Conn) Write(b []byte) {
@@ -71,10 +71,10 @@
 	c.mark()
 }
 
-// Retract takes queued bytes back, from one position to another as Queued counted them. It returns false, and takes
+// Unwrite takes queued bytes back, from one position to another as Queued counted them. It returns false, and takes
 // nothing back, where some have gone to the kernel. What was queued behind them moves up.
-func (c *Conn) Retract(from, to uint64) bool {
-	if c.fd < 0 || c.linger || from < c.total || to > c.Queued() || from > to {
+func (c *Conn) Unwrite(from, to uint64) bool {
+	if c.fd < 0 || c.linger || from < c.total || to > c.WrittenBytes() || from > to {
 		return false
 	}
 	i, j := c.sent+int(from-c.total), c.sent+int(to-c.total)
@@ -105,11 +105,11 @@
 	c.paused = false
 	c.fallBehind(c.since)
 	c.want(c.interest | unix.EPOLLIN)
-	c.Again()
+	c.Redeliver()
 }
 
-// Again lets Data be called in this turn for bytes it left before, if there are any.
-func (c *Conn) Again() {
+// Redeliver lets Data be called in this turn for bytes it left before, if there are any.
+func (c *Conn) Redeliver() {
 	if len(c.in) > 0 && !c.again {
 		c.again = true
 		c.l.refeed = append(c.l.refeed, c)
@@ -183,7 +183,7 @@
 	c.l.give(c.out)
 	c.in, c.out, c.sent, c.up, c.dialing = nil, nil, 0, false, false
 	c.l.conns--
-	c.l.Stats.Conns.Add(-1)
+	c.l.Stats.Connections.Add(-1)
 	for _, ln := range c.l.listeners {
 		if ln.paused && !ln.timer.Pending() {
 			ln.resume()
@@ -218,7 +218,7 @@
 		c.up = true
 		c.l.Cancel(&c.timer)
 		c.want(unix.EPOLLIN | unix.EPOLLRDHUP)
-		c.h.Opened(c)
+		c.h.Connected(c)
 		if c.fd >= 0 && len(c.out) > 0 {
 			c.mark()
 		}
@@ -262,7 +262,7 @@
 }
 
 func (c *Conn) flush() {
-	if w, ok := c.h.(Writer); ok && !c.linger {
+	if w, ok := c.h.(WriteInterceptor); ok && !c.linger {
 		if w.BeforeWrite(c); c.fd < 0 {
 			return
 		}
@@ -282,7 +282,7 @@
 			c.rest()
 			return
 		default:
-			c.Poll() // what the peer had said before counts
+			c.ReadNow() // what the peer had said before counts
 			c.end(os.NewSyscallError("write", err))
 			return
 		}
@@ -305,15 +305,15 @@
 		c.want(c.interest &^ unix.EPOLLOUT)
 	}
 	if tell && !c.linger {
-		c.h.Drained(c)
+		c.h.Flushed(c)
 	}
 }
 
-// NotifyDrained asks for Drained after what is written now, also where it goes out at once.
-func (c *Conn) NotifyDrained() { c.notify = true }
+// NotifyFlushed asks for Drained after what is written now, also where it goes out at once.
+func (c *Conn) NotifyFlushed() { c.notify = true }
 
-// Writer is a Handler that wants to look once more at what is about to go to the kernel.
-type Writer interface {
+// WriteInterceptor is a Handler that wants to look once more at what is about to go to the kernel.
+type WriteInterceptor interface {
 	// BeforeWrite is called before each write; it may take bytes back by Retract, or close the connection.
 	BeforeWrite(c *Conn)
 }
--- a/internal/loop/dial.go
+++ b/internal/eventloop/dial.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 	c := &Conn{l: l, h: h, fd: -1, peer: to, interest: unix.EPOLLOUT, dialing: true, giveUpAt: l.now + timeout}
 	c.timer.Fire = c.dialTimeout
 	l.conns++
-	l.Stats.Conns.Add(1)
+	l.Stats.Connections.Add(1)
 	l.Stats.Dialled.Add(1)
 	c.dial()
 	return c
@@ -39,8 +39,8 @@
 		l.Start(&c.timer, c.giveUpAt-l.now)
 		return
 	}
-	if err == unix.EMFILE && l.OnShortage != nil {
-		l.OnShortage()
+	if err == unix.EMFILE && l.OnDescriptorShortage != nil {
+		l.OnDescriptorShortage()
 	}
 	if passing(err) && l.now+localRest < c.giveUpAt {
 		l.Stats.LocalFailures.Add(1)
@@ -50,7 +50,7 @@
 	if ours(err) {
 		err = &LocalError{err}
 	}
-	l.Later(func() { c.end(fmt.Errorf("connect %s: %w", c.peer, err)) })
+	l.Defer(func() { c.end(fmt.Errorf("connect %s: %w", c.peer, err)) })
 }
 
 // dialTimeout tries again what failed here, or gives up what does not come up.
--- a/internal/loop/looptest/looptest.go
+++ b/internal/eventloop/eventlooptest/looptest.go
@@ -1,15 +1,15 @@
-// Package looptest lets tests look at what lives on a loop.
-package looptest
+// Package eventlooptest lets tests look at what lives on a loop.
+package eventlooptest
 
 import (
 	"testing"
 	"time"
 
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
 )
 
 // On runs f on the loop and waits for it.
-func On(t testing.TB, l *loop.Loop, f func()) {
+func On(t testing.TB, l *eventloop.Loop, f func()) {
 	t.Helper()
 	ok := make(chan struct{})
 	l.Post(func() { f(); close(ok) })
@@ -21,7 +21,7 @@
 }
 
 // Until waits for something that is to come about, as seen on the loop.
-func Until(t testing.TB, l *loop.Loop, what string, f func() bool) {
+func Until(t testing.TB, l *eventloop.Loop, what string, f func() bool) {
 	t.Helper()
 	for range 2500 {
 		ok := false
--- a/internal/loop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"io"
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys"
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
 )
 
 // Accept that fails each time, whatever it says, is no busy loop, and who waits is served afterwards.
@@ -21,7 +21,7 @@
 	for _, errno := range []syscall.Errno{unix.ECONNABORTED, unix.EPERM, unix.EINTR, unix.ENFILE} {
 		var fails atomic.Bool
 		var calls atomic.Int64
-		sys.Default = &faults.Kernel{Kernel: sys.Linux{}, Fail: func(c faults.Call, _ int) error {
+		syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Fail: func(c faults.Call, _ int) error {
 			if c != faults.Accept || !fails.Load() {
 				return nil
 			}
@@ -29,7 +29,7 @@
 			return errno
 		}}
 		l, do := running(t, 0)
-		sys.Default = sys.Linux{}
+		syscalls.Default = syscalls.Linux{}
 		ln := listen(t, l, do, echo)
 		fails.Store(true)
 		var conns []net.Conn
@@ -60,7 +60,7 @@
 		c.Write([]byte("x"))
 		io.ReadFull(c, make([]byte, 1))
 	}
-	if n := l.Stats.Standstills.Load(); n > 1 { // one may be the machine's
+	if n := l.Stats.Stalls.Load(); n > 1 { // one may be the machine's
 		t.Errorf("%d standstills", n)
 	}
 }
--- a/internal/loop/listener.go
+++ b/internal/eventloop/listener.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"fmt"
@@ -124,7 +124,7 @@
 		return
 	}
 	if ln.draining {
-		ln.l.Later(ln.accept)
+		ln.l.Defer(ln.accept)
 	}
 }
 
@@ -154,14 +154,14 @@
 		}
 		return false
 	case unix.EMFILE:
-		l.Stats.NoDescriptor.Add(1)
-		if l.releaseReserve() || l.OnShortage != nil && l.OnShortage() {
+		l.Stats.DescriptorShortages.Add(1)
+		if l.releaseReserve() || l.OnDescriptorShortage != nil && l.OnDescriptorShortage() {
 			return true
 		}
 		ln.restMore()
 		return false
 	case unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-		l.Stats.NoDescriptor.Add(1)
+		l.Stats.DescriptorShortages.Add(1)
 		ln.restMore()
 		return false
 	default: // the connection failed before it was accepted, ECONNABORTED and the like, or EINTR
@@ -190,7 +190,7 @@
 		return
 	}
 	l.conns++
-	l.Stats.Conns.Add(1)
+	l.Stats.Connections.Add(1)
 	l.enter(fd, c.interest, entry{c: c})
 }
 
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,12 +1,12 @@
 //go:build linux
 
-// Package loop is an event loop on epoll: one locked thread, non-blocking sockets, timers in a heap, and wake-ups
+// Package eventloop is an event loop on epoll: one locked thread, non-blocking sockets, timers in a heap, and wake-ups
 // from other goroutines by eventfd. It knows descriptors and bytes, and nothing of what they mean.
 //
 // Everything but Post, Stop and Stats is to be called on the loop only: from handlers, timers and posted functions.
 // A turn waits, hears what is ready, fires what is due, calls OnTurn, and then writes what was queued. What one
 // connection may do in a turn is bounded (one read, more where the loop has to catch up), so that none starves another.
-package loop
+package eventloop
 
 import (
 	"errors"
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys"
+	"mastchute/internal/syscalls"
 )
 
 const (
@@ -51,13 +51,13 @@
 // Handler hears of one connection. Its methods run on the loop.
 type Handler interface {
 	// Opened tells that a dialled connection is up.
-	Opened(c *Conn)
+	Connected(c *Conn)
 	// Data gets all bytes read and not yet used, and returns how many it used. b is valid for this call only. The
 	// rest comes again with the next bytes, or after Resume.
-	Data(c *Conn, b []byte) (used int)
+	Received(c *Conn, b []byte) (used int)
 	// Drained tells that all written bytes have gone to the kernel, after some could not go at once, or after
 	// NotifyDrained.
-	Drained(c *Conn)
+	Flushed(c *Conn)
 	// Closed tells, exactly once, that the connection ended by the peer (io.EOF), by an error, or did not come up.
 	// It is not called after Close or CloseFlushed.
 	Closed(c *Conn, err error)
@@ -65,23 +65,23 @@
 
 // Stats counts, for operators; all fields grow but Conns.
 type Stats struct {
-	Conns, Accepted, Dialled, NoDescriptor, Turns atomic.Int64
-	LocalFailures                                 atomic.Int64 // system calls that failed for want of the machine's means
-	Standstills                                   atomic.Int64 // looks that came late by more than arrivalSlack
-	LateNs                                        atomic.Int64 // how late the latest due timer fired, ns
-	TurnNs                                        atomic.Int64 // longest turn so far, ns
+	Connections, Accepted, Dialled, DescriptorShortages, Turns atomic.Int64
+	LocalFailures                                              atomic.Int64 // system calls that failed for want of the machine's means
+	Stalls                                                     atomic.Int64 // looks that came late by more than arrivalSlack
+	LateNs                                                     atomic.Int64 // how late the latest due timer fired, ns
+	TurnNs                                                     atomic.Int64 // longest turn so far, ns
 }
 
 // Loop is one event loop. Make it by New, run it by Run on a goroutine of its own.
 type Loop struct {
-	OnTurn func() // called after the events of a turn and before its writes; may be nil
+	AfterEvents func() // called after the events of a turn and before its writes; may be nil
 	// OnShortage is asked to free a descriptor of this process, and tells whether it did; may be nil.
-	OnShortage func() bool
+	OnDescriptorShortage func() bool
 	// OnStandstill hears, after all that came in was heard, that the process stood still for about so many seconds; may be nil.
-	OnStandstill func(span float64)
-	Stats        Stats
+	OnStall func(span float64)
+	Stats   Stats
 
-	kernel    sys.Kernel
+	kernel    syscalls.Kernel
 	ep, wake  int
 	start     time.Time
 	wallStart float64 // s since 1970 by the wall clock at second 0
@@ -122,7 +122,7 @@
 // New makes a loop that holds at most maxConns connections, dialled ones included; 0 means no limit but the
 // descriptors'.
 func New(maxConns int) (*Loop, error) {
-	kernel := sys.Default
+	kernel := syscalls.Default
 	ep, err := kernel.EpollCreate()
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -155,7 +155,7 @@
 	return l.wallStart, wallSeconds(l.kernel) - l.Clock()
 }
 
-func wallSeconds(k sys.Kernel) float64 { return float64(k.WallClock().UnixNano()) / 1e9 }
+func wallSeconds(k syscalls.Kernel) float64 { return float64(k.WallClock().UnixNano()) / 1e9 }
 
 // Start sets the timer to fire after the given seconds; a pending one is moved.
 func (l *Loop) Start(t *Timer, after float64) { l.timers.start(t, l.now+math.Max(0, after)) }
@@ -163,8 +163,8 @@
 // Cancel stops a timer; a stopped one stays so.
 func (l *Loop) Cancel(t *Timer) { l.timers.stop(t) }
 
-// Later calls f on this loop after what is at hand, within this turn.
-func (l *Loop) Later(f func()) { l.later = append(l.later, f) }
+// Defer calls f on this loop after what is at hand, within this turn.
+func (l *Loop) Defer(f func()) { l.later = append(l.later, f) }
 
 // Post calls f on the loop, soon. Safe from any goroutine; it never blocks. After the loop has ended f is not called.
 func (l *Loop) Post(f func()) {
@@ -230,8 +230,8 @@
 	for range settleTurns {
 		l.runLater()
 		l.runRefeed()
-		if l.OnTurn != nil {
-			l.OnTurn()
+		if l.AfterEvents != nil {
+			l.AfterEvents()
 		}
 		if len(l.dirty) > 0 && looks < looksTurn && l.stale() {
 			looks++
--- a/internal/loop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"bytes"
@@ -57,17 +57,17 @@
 	closed          func(*Conn, error)
 }
 
-func (p *plain) Opened(c *Conn) {
+func (p *plain) Connected(c *Conn) {
 	if p.opened != nil {
 		p.opened(c)
 	}
 }
-func (p *plain) Drained(c *Conn) {
+func (p *plain) Flushed(c *Conn) {
 	if p.drained != nil {
 		p.drained(c)
 	}
 }
-func (p *plain) Data(c *Conn, b []byte) int {
+func (p *plain) Received(c *Conn, b []byte) int {
 	if p.data != nil {
 		return p.data(c, b)
 	}
@@ -254,7 +254,7 @@
 	}
 	done := make(chan error, 1)
 	go func() { done <- l.Run() }()
-	for i := 0; l.Stats.NoDescriptor.Load() < 2 && i < 1000; i++ {
+	for i := 0; l.Stats.DescriptorShortages.Load() < 2 && i < 1000; i++ {
 		time.Sleep(5 * time.Millisecond)
 	}
 	turns := l.Stats.Turns.Load()
@@ -265,7 +265,7 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	if l.Stats.NoDescriptor.Load() < 2 {
+	if l.Stats.DescriptorShortages.Load() < 2 {
 		t.Error("descriptors never ran out")
 	}
 	served, refused := 0, 0
@@ -299,8 +299,8 @@
 	}
 	c.Write([]byte{'3'})
 	do(func() {
-		if l.Stats.Conns.Load() != 2 {
-			t.Errorf("%d connections, 2 allowed", l.Stats.Conns.Load())
+		if l.Stats.Connections.Load() != 2 {
+			t.Errorf("%d connections, 2 allowed", l.Stats.Connections.Load())
 		}
 	})
 	a.Close() // makes room
@@ -324,8 +324,8 @@
 		select {
 		case err := <-end:
 			do(func() {
-				if conn.Sent() != 0 {
-					t.Errorf("%d bytes sent on a connection that never came up", conn.Sent())
+				if conn.SentBytes() != 0 {
+					t.Errorf("%d bytes sent on a connection that never came up", conn.SentBytes())
 				}
 			})
 			return err
@@ -406,8 +406,8 @@
 	ln := listen(t, l, do, func(*Conn) Handler {
 		return &plain{data: func(c *Conn, b []byte) int {
 			c.Write(b[:1])
-			c.Again()
-			l.Later(c.Again)
+			c.Redeliver()
+			l.Defer(c.Redeliver)
 			return 1
 		}}
 	})
@@ -442,7 +442,7 @@
 		ok       bool
 		left     string
 	}{{4, 7, false, "xxAABBCC"}, {7, 20, false, "xxAABBCC"}, {7, 9, true, "xxAACC"}, {7, 9, true, "xxAA"}, {5, 7, true, "xx"}, {5, 7, false, "xx"}} {
-		if ok := c.Retract(r.from, r.to); ok != r.ok || string(c.out) != r.left || c.Waiting() != len(r.left)-2 {
+		if ok := c.Unwrite(r.from, r.to); ok != r.ok || string(c.out) != r.left || c.UnsentBytes() != len(r.left)-2 {
 			t.Errorf("%d to %d: %v, left %q", r.from, r.to, ok, c.out)
 		}
 	}
--- a/internal/loop/poll.go
+++ b/internal/eventloop/poll.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"math"
@@ -100,7 +100,7 @@
 	case e.l != nil:
 		e.l.accept()
 	case c.up:
-		if c.Poll(); c.fd >= 0 && c.waits {
+		if c.ReadNow(); c.fd >= 0 && c.waits {
 			c.flush()
 		}
 	}
@@ -123,7 +123,7 @@
 	l.looks++
 	l.catchingUp = l.now-l.heardTo > arrivalSlack
 	if l.catchingUp {
-		l.Stats.Standstills.Add(1)
+		l.Stats.Stalls.Add(1)
 	}
 	l.hear(l.events[:n])
 	for range looksMore { // with more ready than one look tells
@@ -135,8 +135,8 @@
 		}
 		l.hear(l.events[:n])
 	}
-	if l.catchingUp && l.OnStandstill != nil {
-		l.OnStandstill(l.now - l.heardTo)
+	if l.catchingUp && l.OnStall != nil {
+		l.OnStall(l.now - l.heardTo)
 	}
 	return nil
 }
@@ -167,8 +167,8 @@
 // arrival is when bytes came in that were not there at a time: no later than now, and as early as that allows.
 func (l *Loop) arrival(after float64) float64 { return math.Min(l.now, after+arrivalSlack) }
 
-// CameIn is when what was posted or heard in this turn came in, as early as the loop's looks allow.
-func (l *Loop) CameIn() float64 { return l.arrival(l.heardTo) }
+// ArrivedAt is when what was posted or heard in this turn came in, as early as the loop's looks allow.
+func (l *Loop) ArrivedAt() float64 { return l.arrival(l.heardTo) }
 
 // releaseReserve gives the reserve descriptor back for one more connection; false where it is used already.
 func (l *Loop) releaseReserve() bool {
--- a/internal/loop/read.go
+++ b/internal/eventloop/read.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package loop
+package eventloop
 
 import (
 	"io"
@@ -11,9 +11,9 @@
 
 // The reading half of a connection: how much is read when, when it came in, and what the peer's close means.
 
-// Poll reads now what the kernel holds, before the turn in which it would be heard: what has come in by the time a
+// ReadNow reads now what the kernel holds, before the turn in which it would be heard: what has come in by the time a
 // connection is closed was sent in time. The handler hears it as ever, and may close the connection.
-func (c *Conn) Poll() {
+func (c *Conn) ReadNow() {
 	after := c.cameAfter()
 	for taken := 0; taken < readsMore*readSize && c.fd >= 0 && c.up && !c.paused && !c.linger; {
 		n, more := c.read(after)
@@ -65,7 +65,7 @@
 		c.in = append(c.in, b...)
 		b = c.in
 	}
-	used := c.h.Data(c, b)
+	used := c.h.Received(c, b)
 	if c.fd < 0 || c.linger {
 		return
 	}
@@ -93,7 +93,7 @@
 
 // peerClosed ends a connection whose peer has closed its side; one that is being ended goes on until all is written.
 func (c *Conn) peerClosed() {
-	if c.linger && c.Waiting() > 0 {
+	if c.linger && c.UnsentBytes() > 0 {
 		c.eof = true
 		c.want(c.interest &^ (unix.EPOLLIN | unix.EPOLLRDHUP))
 		return
@@ -106,9 +106,9 @@
 	c.end(io.EOF)
 }
 
-// HeardAt is when the bytes that Data is called with came in, as early as the loop's looks allow: it may have stood
+// ReceivedAt is when the bytes that Data is called with came in, as early as the loop's looks allow: it may have stood
 // still since. It is on the loop's clock and never in the future.
-func (c *Conn) HeardAt() float64 { return c.heardAt }
+func (c *Conn) ReceivedAt() float64 { return c.heardAt }
 
 // fallBehind notes that what is there may have come in before the latest looks, but after a time.
 func (c *Conn) fallBehind(after float64) {
@@ -124,9 +124,9 @@
 	return c.l.heardTo
 }
 
-// Rests counts how often the connection was left alone for a moment, as its reads or writes failed for want of the
+// ReadPauses counts how often the connection was left alone for a moment, as its reads or writes failed for want of the
 // machine's means: what did not come in meanwhile is not its peer's fault.
-func (c *Conn) Rests() uint32 { return c.rests }
+func (c *Conn) ReadPauses() uint32 { return c.rests }
 
 // rest leaves a connection alone for a moment, as the kernel has no memory for it.
 func (c *Conn) rest() {
--- a/internal/loop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 // Timer fires once at a time of the loop's clock. It is meant to be a field of the record it serves: starting,
 // moving and stopping it allocates nothing. The zero Timer with Fire set is ready to use.
--- a/internal/flightrec/flightrec.go
+++ b/internal/flightrecorder/flightrec.go
@@ -1,7 +1,7 @@
-// Package flightrec is a flight recorder: a ring of the latest state changes of requests, attempts, connections and
+// Package flightrecorder is a flight recorder: a ring of the latest state changes of requests, attempts, connections and
 // workers, each with its time and reason. Writing to it allocates nothing; it is dumped when something went wrong, or
 // on SIGUSR1. It belongs to one goroutine.
-package flightrec
+package flightrecorder
 
 // size is how many events are kept: some seconds of a busy dispatcher, in about 130 KB.
 const size = 2048
--- a/internal/flightrec/flightrec_test.go
+++ b/internal/flightrecorder/flightrec_test.go
@@ -1,4 +1,4 @@
-package flightrec
+package flightrecorder
 
 import "testing"
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -4,15 +4,15 @@
 	"math"
 
 	"mastchute/control"
-	"mastchute/internal/loop"
-	"mastchute/internal/permit"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/rules"
 )
 
 // ending is an outcome to be told to the decisions; f nil: only lets the request's place go.
 type ending struct {
 	q *Request
 	f *Attempt
-	o control.Outcome
+	o control.AttemptResult
 }
 
 func (g *Gateway) getAttempt() *Attempt {
@@ -24,7 +24,7 @@
 	f := &Attempt{g: g}
 	f.timer.Fire = func() { g.end(f, control.TimedOut) }
 	f.window.Fire = func() {
-		if f.Worker.link.Handed(f) == 0 {
+		if f.Worker.link.SentAt(f) == 0 {
 			g.end(f, control.NotSent)
 		}
 	}
@@ -33,18 +33,18 @@
 
 func (g *Gateway) putAttempt(f *Attempt) {
 	f.Request, f.Worker = nil, nil
-	f.Body = f.Body[:0]
-	if cap(f.Body) > 64<<10 {
-		f.Body = nil
+	f.ResponseBody = f.ResponseBody[:0]
+	if cap(f.ResponseBody) > 64<<10 {
+		f.ResponseBody = nil
 	}
-	f.Reply, f.done, f.barred = Reply{}, false, false
+	f.Response, f.done, f.barred = WorkerResponse{}, false, false
 	g.freeAttempts = append(g.freeAttempts, f)
 }
 
 // The actions, as control.Actions names them.
 
-// Attempt sends a request to a worker.
-func (g *Gateway) Attempt(id control.RequestID, wid control.WorkerID, timeout control.Seconds) {
+// SendAttempt sends a request to a worker.
+func (g *Gateway) SendAttempt(id control.RequestID, wid control.WorkerID, timeout control.Seconds) {
 	q, w := g.lookupRequest(id), g.workers[wid]
 	if q == nil || w == nil || q.attempted >= maxAttempts {
 		g.Metrics.guard("unknown")
@@ -57,9 +57,9 @@
 	q.attempted++
 	q.pending++
 	w.meter.attempts.Inc()
-	g.Note("attempt", "", q, w, timeout)
+	g.RecordEvent("attempt", "", q, w, timeout)
 	terms := q.terms(w, f.Index)
-	if why := permit.Attempt(f.made, terms, w.ready()); why != permit.Allowed { // whatever was decided
+	if why := rules.CheckAttempt(f.made, terms, w.ready()); why != rules.Allowed { // whatever was decided
 		g.Metrics.guard("forward_barred")
 		g.violation(why, "attempt", q, w)
 		f.barred = true
@@ -69,23 +69,23 @@
 	if timeout > 0 {
 		g.Loop.Start(&f.timer, timeout)
 	}
-	if f.NotAfter = repeatsUntil(terms); !math.IsInf(f.NotAfter, 1) {
-		g.Loop.Start(&f.window, f.NotAfter-f.made)
+	if f.SendDeadline = repeatsUntil(terms); !math.IsInf(f.SendDeadline, 1) {
+		g.Loop.Start(&f.window, f.SendDeadline-f.made)
 	}
-	w.Sent()
-	w.link.Send(f)
+	w.MarkSent()
+	w.link.SendAttempt(f)
 }
 
 // Shed answers that trying again is harmless.
 func (g *Gateway) Shed(id control.RequestID, retryAfter control.Seconds) {
-	if q := g.lookupRequest(id); q != nil && q.Client != nil {
-		if why := permit.Shed(q.shedTerms()); why != permit.Allowed {
+	if q := g.lookupRequest(id); q != nil && q.Responder != nil {
+		if why := rules.CheckShed(q.shedTerms()); why != rules.Allowed {
 			g.violation(why, "shed", q, nil)
 			g.fail(q, false, "it may have run")
 			return
 		}
 		if c := g.final(q, answerShed); c != nil {
-			c.Shed(q, retryAfter)
+			c.WriteShed(q, retryAfter)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // Fail answers that it did not work out, and promises nothing.
 func (g *Gateway) Fail(id control.RequestID) {
 	q := g.lookupRequest(id)
-	if q == nil || q.Client == nil {
+	if q == nil || q.Responder == nil {
 		return
 	}
 	if g.Loop.Now() > q.notAfter-0.1 {
@@ -103,39 +103,39 @@
 	g.fail(q, false, "the workers failed; it may have run")
 }
 
-// Cancel gives an attempt up.
-func (g *Gateway) Cancel(id control.RequestID, n int) {
+// CancelAttempt gives an attempt up.
+func (g *Gateway) CancelAttempt(id control.RequestID, n int) {
 	if q := g.lookupRequest(id); q != nil && n < q.attempted {
 		g.end(q.attempts[n], control.Cancelled)
 	}
 }
 
-// CloseIdle closes the idle connections to a worker.
-func (g *Gateway) CloseIdle(id control.WorkerID) {
+// CloseIdleConnections closes the idle connections to a worker.
+func (g *Gateway) CloseIdleConnections(id control.WorkerID) {
 	if w := g.workers[id]; w != nil {
 		w.link.CloseIdle()
 	}
 }
 
-// Tell has nobody to tell: dispatchers share nothing.
-func (g *Gateway) Tell(control.PeerID, []byte) { g.Metrics.guard("note_dropped") }
+// SendPeerMessage has nobody to tell: dispatchers share nothing.
+func (g *Gateway) SendPeerMessage(control.PeerID, []byte) { g.Metrics.guard("note_dropped") }
 
-// Subscribe starts or ends the pushing of changes, where discovery is to be asked.
-func (g *Gateway) Subscribe(on bool) {
+// SubscribeWorkerList starts or ends the pushing of changes, where discovery is to be asked.
+func (g *Gateway) SubscribeWorkerList(on bool) {
 	was := g.subscribed
 	if g.subscribed = on; on && !was {
-		g.Loop.Later(func() { g.tellList(control.ListComplete) })
+		g.Loop.Defer(func() { g.tellList(control.ListSnapshot) })
 	}
 }
 
-// FetchList asks for the whole list once.
-func (g *Gateway) FetchList() { g.Loop.Later(func() { g.tellList(control.ListComplete) }) }
+// FetchWorkerList asks for the whole list once.
+func (g *Gateway) FetchWorkerList() { g.Loop.Defer(func() { g.tellList(control.ListSnapshot) }) }
 
-// Wake sets a timer.
-func (g *Gateway) Wake(after control.Seconds, id control.TimerID) {
+// SetTimer sets a timer.
+func (g *Gateway) SetTimer(after control.Seconds, id control.TimerID) {
 	t := g.wakes[id]
 	if t == nil {
-		t = &loop.Timer{}
+		t = &eventloop.Timer{}
 		t.Fire = func() {
 			g.begin()
 			if g.module != nil {
@@ -164,7 +164,7 @@
 	}
 	g.begin()
 	if g.module != nil {
-		g.guard(func() { g.module.Streaming(q.id, f.Index, f.Worker.ID, g.Loop.Now()-f.made) })
+		g.guard(func() { g.module.ResponseStarted(q.id, f.Index, f.Worker.ID, g.Loop.Now()-f.made) })
 	}
 }
 
@@ -174,11 +174,11 @@
 		return
 	}
 	if f.done = true; r == control.TimedOut || r == control.Cancelled || r == control.NotSent {
-		if f.barred || f.Worker.link.Handed(f) == 0 && r != control.TimedOut { // never handed to a connection that is up
+		if f.barred || f.Worker.link.SentAt(f) == 0 && r != control.TimedOut { // never handed to a connection that is up
 			r = control.NotSent
 		}
 		if !f.barred { // the link has never had it
-			f.Worker.link.Cancel(f)
+			f.Worker.link.CancelAttempt(f)
 		}
 	}
 	g.Loop.Cancel(&f.timer)
@@ -187,23 +187,23 @@
 	f.result = r
 	f.Worker.pending--
 	f.Worker.meter.ended(r)
-	g.Note("attempt_ended", resultNames[r], q, f.Worker, now-f.made)
-	o := control.Outcome{ID: q.id, Attempt: f.Index, Worker: f.Worker.ID, Took: now - f.made, Result: r, Found: f.Reply.Found,
-		Crowd: f.Reply.Crowd, Report: f.Reply.Report[:f.Reply.Fields]}
-	if r == control.Returned && !q.answered {
-		c := q.Client
-		q.Client = nil
-		c.Returned(q, f)
+	g.RecordEvent("attempt_ended", resultNames[r], q, f.Worker, now-f.made)
+	o := control.AttemptResult{ID: q.id, Attempt: f.Index, Worker: f.Worker.ID, Duration: now - f.made, Result: r, ModelState: f.Response.ModelState,
+		SameModelInFlight: f.Response.SameModelInFlight, LoadReport: f.Response.LoadReport[:f.Response.LoadReportLen]}
+	if r == control.Succeeded && !q.answered {
+		c := q.Responder
+		q.Responder = nil
+		c.WriteResponse(q, f)
 		g.close(q, answerReturned)
 	} else if q.streaming == f && !q.answered { // cut short after it began: the client must see that
-		c := q.Client
-		q.Client = nil
-		c.Failed(q, false, "the answer was cut short")
+		c := q.Responder
+		q.Responder = nil
+		c.WriteFailure(q, false, "the answer was cut short")
 		g.close(q, answerFailed)
 	}
-	o.Final = q.answered
+	o.RequestAnswered = q.answered
 	if len(g.ended) == 0 {
-		g.Loop.Later(g.tellFn)
+		g.Loop.Defer(g.tellFn)
 	}
 	g.ended = append(g.ended, ending{q: q, f: f, o: o})
 }
@@ -215,7 +215,7 @@
 		e := &g.ending[i]
 		if e.f != nil {
 			e.q.pending--
-			e.o.Final = e.q.answered
+			e.o.RequestAnswered = e.q.answered
 			g.begin()
 			if g.module != nil {
 				g.outcome(&e.o)
--- a/internal/gateway/classify.go
+++ b/internal/gateway/classify.go
@@ -5,16 +5,16 @@
 	"strconv"
 
 	"mastchute/control"
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
 )
 
 // What follows is pure: it reads what a worker said.
 
 // told is what the head of a worker's answer says beside the answer itself.
 type told struct {
-	Reply
+	WorkerResponse
 	start  float64 // seconds since 1970; 0 for not told
 	memory float64 // MB, lanes and seconds of a load; 0 for not told
 	lanes  float64
@@ -22,60 +22,60 @@
 }
 
 // classify reads the head of an answer. Only a 503 that says Mastchute-Ran: no is proof that nothing ran.
-func classify(h *http1.Head, fields []string) (t told) {
-	t.Crowd = -1
+func classify(h *httpcodec.Head, fields []string) (t told) {
+	t.SameModelInFlight = -1
 	ranNot, miss := false, false
 	for i := range h.Headers {
 		n, v := h.Headers[i].Name, h.Headers[i].Value
 		if len(n) < 9 {
 			continue
 		}
-		if http1.Is(n, "endpoint-load-metrics") {
-			t.Fields = orca(v, fields, t.Report[:])
+		if httpcodec.EqualsLower(n, "endpoint-load-metrics") {
+			t.LoadReportLen = orca(v, fields, t.LoadReport[:])
 			continue
 		}
-		if n[0]|0x20 != 'm' || !http1.Is(n[:min(10, len(n))], "mastchute-") {
+		if n[0]|0x20 != 'm' || !httpcodec.EqualsLower(n[:min(10, len(n))], "mastchute-") {
 			continue
 		}
 		switch rest := n[10:]; {
-		case http1.Is(rest, "ran"):
-			ranNot = http1.Is(v, "no")
-		case http1.Is(rest, "why"):
-			miss = http1.Is(v, "miss")
-		case http1.Is(rest, "found"):
+		case httpcodec.EqualsLower(rest, "ran"):
+			ranNot = httpcodec.EqualsLower(v, "no")
+		case httpcodec.EqualsLower(rest, "why"):
+			miss = httpcodec.EqualsLower(v, "miss")
+		case httpcodec.EqualsLower(rest, "found"):
 			switch string(v) {
 			case "warm":
-				t.Found = control.FoundWarm
+				t.ModelState = control.ModelWarm
 			case "began":
-				t.Found = control.BeganLoad
+				t.ModelState = control.LoadStarted
 			case "awaited":
-				t.Found = control.AwaitedLoad
+				t.ModelState = control.LoadAwaited
 			case "failed":
-				t.Found = control.LoadFailed
+				t.ModelState = control.LoadFailed
 			}
-		case http1.Is(rest, "start"):
+		case httpcodec.EqualsLower(rest, "start"):
 			t.start = number(v)
-		case http1.Is(rest, "crowd"):
-			t.Crowd = int(number(v))
-		case http1.Is(rest, "copies"):
-			t.Copies = int(number(v))
-		case http1.Is(rest, "memory"):
+		case httpcodec.EqualsLower(rest, "crowd"):
+			t.SameModelInFlight = int(number(v))
+		case httpcodec.EqualsLower(rest, "copies"):
+			t.Replicas = int(number(v))
+		case httpcodec.EqualsLower(rest, "memory"):
 			t.memory = number(v)
-		case http1.Is(rest, "lanes"):
+		case httpcodec.EqualsLower(rest, "lanes"):
 			t.lanes = number(v)
-		case http1.Is(rest, "load"):
+		case httpcodec.EqualsLower(rest, "load"):
 			t.load = number(v)
 		}
 	}
 	switch {
 	case h.Status == 503 && ranNot && miss:
-		t.Result = control.Missed
+		t.Result = control.ModelNotLoaded
 	case h.Status == 503 && ranNot:
-		t.Result = control.Full
+		t.Result = control.AtCapacity
 	case h.Status >= 500:
-		t.Result = control.Errored
+		t.Result = control.WorkerError
 	default:
-		t.Result = control.Returned
+		t.Result = control.Succeeded
 	}
 	return t
 }
@@ -149,8 +149,8 @@
 func lost(err error, wrote bool) control.Result {
 	switch {
 	case wrote:
-		return control.Reset
-	case errors.Is(err, h1.ErrAbandoned), errors.As(err, new(*loop.LocalError)): // it says nothing of the worker
+		return control.ConnectionReset
+	case errors.Is(err, httpconn.ErrNotSent), errors.As(err, new(*eventloop.LocalError)): // it says nothing of the worker
 		return control.NotSent
 	default:
 		return control.ConnectFailed
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -13,23 +13,23 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys"
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
 )
 
 // An attempt that waits for its connection is sent with the time that its client has left by then.
 func TestDeadlineOfALateConnection(t *testing.T) {
 	var until atomic.Int64
-	sys.Default = &faults.Kernel{Kernel: sys.Linux{}, Fail: func(c faults.Call, _ int) error {
+	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Fail: func(c faults.Call, _ int) error {
 		if c == faults.Connect && time.Now().UnixNano() < until.Load() {
 			return unix.EADDRNOTAVAIL
 		}
 		return nil
 	}}
-	t.Cleanup(func() { sys.Default = sys.Linux{} })
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	w := newWorker(t, "w1", fine)
 	r := newRig(t, "limits: {connect_timeout: 2s}\n", nil, w)
-	r.on(func() { r.g.CloseIdle(r.g.Members.All()[0].ID) })
+	r.on(func() { r.g.CloseIdleConnections(r.g.Members.All()[0].ID) })
 	sent := time.Now()
 	until.Store(sent.Add(500 * time.Millisecond).UnixNano())
 	if a := r.ask("read-1", "Mastchute-Timeout: 2\r\n", "in"); a.answer != "returned" {
@@ -50,15 +50,15 @@
 // A connection that this machine has no means for says nothing of the worker.
 func TestLocalFailuresSpareTheWorker(t *testing.T) {
 	var fails atomic.Bool
-	sys.Default = &faults.Kernel{Kernel: sys.Linux{}, Fail: func(c faults.Call, _ int) error {
+	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Fail: func(c faults.Call, _ int) error {
 		if c == faults.Connect && fails.Load() {
 			return unix.EADDRNOTAVAIL
 		}
 		return nil
 	}}
-	t.Cleanup(func() { sys.Default = sys.Linux{} })
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	r := newRig(t, "limits: {connect_timeout: 30ms}\n", nil, newWorker(t, "w1", fine))
-	r.on(func() { r.g.CloseIdle(r.g.Members.All()[0].ID) })
+	r.on(func() { r.g.CloseIdleConnections(r.g.Members.All()[0].ID) })
 	fails.Store(true)
 	for range 5 {
 		if a := r.ask("read-1", "", "in"); a.answer != "shed" {
@@ -110,8 +110,8 @@
 // they are the marks by which workers drop repeats.
 func TestStartsNameTheirRequests(t *testing.T) {
 	at := time.Now()
-	sys.Default = frozen{sys.Linux{}, at}
-	t.Cleanup(func() { sys.Default = sys.Linux{} })
+	syscalls.Default = frozen{syscalls.Linux{}, at}
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	names := map[string]bool{}
 	for range 3 {
 		r := newRig(t, "", nil, newWorker(t, "w1", fine))
@@ -124,7 +124,7 @@
 
 // frozen is a kernel whose wall clock stands.
 type frozen struct {
-	sys.Kernel
+	syscalls.Kernel
 	at time.Time
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,10 +20,10 @@
 
 	"mastchute/control"
 	"mastchute/internal/config"
-	"mastchute/internal/flightrec"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/flightrecorder"
 	"mastchute/internal/membership"
-	"mastchute/internal/permit"
+	"mastchute/internal/rules"
 )
 
 const (
@@ -37,19 +37,19 @@
 	slotBits    = 20    // of a request's id: its place; the rest counts uses of the place
 )
 
-// Start makes the decisions of a dispatcher.
-type Start func(seed uint64, s control.Settings, a control.Actions) control.Module
+// NewModule makes the decisions of a dispatcher.
+type NewModule func(seed uint64, s control.Settings, a control.Actions) control.Module
 
 // Gateway is one dispatcher. Its methods run on its loop, but for those that say otherwise.
 type Gateway struct {
-	Loop    *loop.Loop
+	Loop    *eventloop.Loop
 	Metrics *Metrics
 	Members *membership.List
-	Events  flightrec.Ring // the latest state changes
+	Events  flightrecorder.Ring // the latest state changes
 
 	cfg    *config.Config
 	log    zerolog.Logger
-	front  Front
+	front  ClientTransport
 	module control.Module
 	set    control.Settings
 	epoch  float64 // seconds since 1970 at the loop's second 0
@@ -66,54 +66,54 @@
 	requests     []*Request
 	free         []int32
 	inFlight     int
-	freeAttempts []*Attempt // free ones
-	orders       []*Order   // free ones
-	ended        []ending   // outcomes to be told in this turn
+	freeAttempts []*Attempt     // free ones
+	orders       []*ControlCall // free ones
+	ended        []ending       // outcomes to be told in this turn
 	ending       []ending
 	tellFn       func()
 
 	subscribed  bool
 	stopping    bool
 	stopBy      float64
-	stopTimer   loop.Timer
-	forgetTimer loop.Timer
-	wakes       map[control.TimerID]*loop.Timer
-	exit        *Exit
+	stopTimer   eventloop.Timer
+	forgetTimer eventloop.Timer
+	wakes       map[control.TimerID]*eventloop.Timer
+	exit        *ExitStatus
 	rnd         *rand.Rand // spreads what dispatchers would else do in step
 }
 
-// Exit tells how a gateway ended.
-type Exit struct {
-	Crash  string // the decisions failed: what they said
-	Failed int    // requests that were failed because the stop's grace ran out
+// ExitStatus tells how a gateway ended.
+type ExitStatus struct {
+	PanicMessage   string // the decisions failed: what they said
+	FailedRequests int    // requests that were failed because the stop's grace ran out
 }
 
 type group struct {
 	config.Group
-	effect permit.Effect
+	effect rules.Effect
 	index  control.GroupID
 	meter  groupMeter
 }
 
 // Options say what a host serves. Settings are what the decisions are told; Config holds what the host itself needs.
 type Options struct {
-	Config   *config.Config
-	Settings control.Settings
-	Seed     uint64
-	Front    func(g *Gateway) (Front, error) // called once, before the loop runs
-	Source   membership.Source               // of Workers
-	Workers  []membership.Entry              // as listed at the start
-	Models   int                             // kept at most; 0 means the usual
+	Config             *config.Config
+	Settings           control.Settings
+	Seed               uint64
+	NewClientTransport func(g *Gateway) (ClientTransport, error) // called once, before the loop runs
+	Source             membership.Source                         // of Workers
+	Workers            []membership.Entry                        // as listed at the start
+	MaxModels          int                                       // kept at most; 0 means the usual
 }
 
 // timer is short for the loop's.
-type timer = loop.Timer
+type timer = eventloop.Timer
 
-// NewHost makes a host with a front of its own. Run the loop to serve.
-func NewHost(l *loop.Loop, o Options, log zerolog.Logger, start Start) (*Gateway, error) {
+// New makes a host with a front of its own. Run the loop to serve.
+func New(l *eventloop.Loop, o Options, log zerolog.Logger, start NewModule) (*Gateway, error) {
 	cfg := o.Config
 	g := &Gateway{Loop: l, cfg: cfg, log: log, set: o.Settings, tenants: map[string]int{}, workers: map[control.WorkerID]*Worker{},
-		Members: membership.New(config.WorkerID), wakes: map[control.TimerID]*loop.Timer{}, exit: &Exit{}, mostModels: o.Models}
+		Members: membership.New(config.WorkerID), wakes: map[control.TimerID]*eventloop.Timer{}, exit: &ExitStatus{}, mostModels: o.MaxModels}
 	if g.mostModels == 0 {
 		g.mostModels = mostModels
 	}
@@ -125,7 +125,7 @@
 	g.forgetTimer.Fire = g.forget
 	g.Metrics = newMetrics(g)
 	for i, c := range cfg.Groups {
-		g.groups = append(g.groups, &group{Group: c, effect: permit.EffectOf(c.Effect), index: control.GroupID(i), meter: g.Metrics.group(c.Name)})
+		g.groups = append(g.groups, &group{Group: c, effect: rules.ParseEffect(c.Effect), index: control.GroupID(i), meter: g.Metrics.group(c.Name)})
 	}
 	for i, t := range cfg.Tenants {
 		g.tenants[t.Name] = i
@@ -136,23 +136,23 @@
 	}
 	g.rnd = rand.New(rand.NewPCG(seed, 5))
 	var err error
-	if g.front, err = o.Front(g); err != nil {
+	if g.front, err = o.NewClientTransport(g); err != nil {
 		return nil, err
 	}
-	l.OnTurn = g.turn
-	l.Later(func() {
+	l.AfterEvents = g.turn
+	l.Defer(func() {
 		g.begin()
 		g.guard(func() { g.module = start(seed, g.set, g) })
 		if g.module == nil {
 			return
 		}
-		g.guard(func() { g.module.At(l.Now()) })
-		if err := g.Replace(o.Source, o.Workers); err != nil {
+		g.guard(func() { g.module.SetNow(l.Now()) })
+		if err := g.ReplaceWorkers(o.Source, o.Workers); err != nil {
 			g.log.Error().Err(err).Msg("workers of the settings not taken")
 		}
 		if g.cfg.Roster.Discovery == "push" {
 			g.subscribed = true
-			g.tellList(control.ListComplete)
+			g.tellList(control.ListSnapshot)
 		} else {
 			g.tellList(control.ListCached)
 		}
@@ -161,8 +161,8 @@
 	return g, nil
 }
 
-// Entries turns configured workers into entries of the list of workers.
-func Entries(list []config.Worker) ([]membership.Entry, error) {
+// MembershipEntries turns configured workers into entries of the list of workers.
+func MembershipEntries(list []config.Worker) ([]membership.Entry, error) {
 	var out []membership.Entry
 	for _, w := range list {
 		addr, err := netip.ParseAddrPort(w.Address)
@@ -184,8 +184,8 @@
 	return out, nil
 }
 
-// Exit tells how it ended, once the loop has.
-func (g *Gateway) Exit() Exit { return *g.exit }
+// ExitStatus tells how it ended, once the loop has.
+func (g *Gateway) ExitStatus() ExitStatus { return *g.exit }
 
 // begin opens a batch of events: the module's clock is set once a turn.
 func (g *Gateway) begin() {
@@ -200,28 +200,28 @@
 func (g *Gateway) clock() {
 	defer g.caught()
 	if g.module != nil {
-		g.module.At(g.Loop.Now())
+		g.module.SetNow(g.Loop.Now())
 	}
 }
 
 func (g *Gateway) settle() {
 	defer g.caught()
-	g.module.Settle()
+	g.module.Reconcile()
 }
 
 func (g *Gateway) request(in *control.Request) {
 	defer g.caught()
-	g.module.Request(*in)
+	g.module.RequestArrived(*in)
 }
 
-func (g *Gateway) outcome(o *control.Outcome) {
+func (g *Gateway) outcome(o *control.AttemptResult) {
 	defer g.caught()
-	g.module.Outcome(*o)
+	g.module.AttemptFinished(*o)
 }
 
 func (g *Gateway) timer(id control.TimerID) {
 	defer g.caught()
-	g.module.Timer(id)
+	g.module.TimerFired(id)
 }
 
 func (g *Gateway) caught() {
@@ -244,17 +244,17 @@
 // guard runs decision code. A panic in it ends the dispatcher: all in flight is failed, nothing is guessed.
 func (g *Gateway) guard(f func()) {
 	defer g.caught()
-	if g.exit.Crash == "" {
+	if g.exit.PanicMessage == "" {
 		f()
 	}
 }
 
 func (g *Gateway) crash(why string, stack []byte) {
-	g.exit.Crash = why
+	g.exit.PanicMessage = why
 	g.module = nil
-	g.Dump("crash")
+	g.DumpFlightRecorder("crash")
 	g.log.Error().Str("panic", why).Str("stack", string(stack)).Int("in_hand", g.inFlight).Msg("decision code failed; this dispatcher ends")
-	g.Loop.Later(func() {
+	g.Loop.Defer(func() {
 		g.front.Drain()
 		g.failAll("the dispatcher failed")
 		g.stopping, g.stopBy = true, g.Loop.Now()
@@ -269,14 +269,14 @@
 	for _, q := range g.requests {
 		if q.live && !q.answered {
 			n++
-			if g.exit.Crash != "" {
+			if g.exit.PanicMessage != "" {
 				g.fail(q, false, why)
 			} else {
 				g.answerAtStop(q, why)
 			}
 			g.begin()
 			if g.module != nil {
-				g.guard(func() { g.module.Withdrawn(q.id) })
+				g.guard(func() { g.module.RequestCancelled(q.id) })
 			}
 		}
 	}
@@ -291,7 +291,7 @@
 		g.stopBy = math.Min(g.stopBy, by)
 	} else {
 		g.log.Info().Int("in_hand", g.inFlight).Float64("grace_s", grace).Msg("stopping")
-		g.Note("stopping", "", nil, nil, grace)
+		g.RecordEvent("stopping", "", nil, nil, grace)
 		g.stopping, g.stopBy = true, by
 		g.front.Drain()
 	}
@@ -302,17 +302,17 @@
 	now := g.Loop.Now()
 	if g.inFlight > 0 && now >= g.stopBy {
 		if n := g.failAll("the dispatcher is stopping"); n > 0 {
-			g.exit.Failed += n
+			g.exit.FailedRequests += n
 			g.log.Warn().Int("failed", n).Msg("stop grace ran out; what was in hand is failed")
 		}
 	}
 	if !g.anyOpen() {
 		for _, w := range g.workers {
 			w.link.Close()
-			w.link.Abandon()
+			w.link.FailUnsent()
 		}
 		g.stopBy = math.Min(g.stopBy, now)
-		if g.Loop.Stats.Conns.Load() == 0 && g.front.Conns() == 0 || now > g.stopBy+stopLinger || g.front.Conns() == 0 && g.lingered(now) {
+		if g.Loop.Stats.Connections.Load() == 0 && g.front.ConnectionCount() == 0 || now > g.stopBy+stopLinger || g.front.ConnectionCount() == 0 && g.lingered(now) {
 			g.log.Info().Msg("stopped")
 			g.Loop.Stop()
 			return
@@ -334,8 +334,8 @@
 	return false
 }
 
-// Chance is a number from 0 up to 1, for what dispatchers would else do in step.
-func (g *Gateway) Chance() float64 { return g.rnd.Float64() }
+// RandomFloat is a number from 0 up to 1, for what dispatchers would else do in step.
+func (g *Gateway) RandomFloat() float64 { return g.rnd.Float64() }
 
 // SetLog changes the log in service.
 func (g *Gateway) SetLog(log zerolog.Logger, sample int) { g.log, g.cfg.Log.Sample = log, sample }
@@ -343,19 +343,19 @@
 // forget drops what is long gone, now and then.
 func (g *Gateway) forget() {
 	now := g.Loop.Now()
-	g.Forget(now - goneLong)
+	g.EvictIdle(now - goneLong)
 	g.Loop.Start(&g.forgetTimer, forgetEvery)
 }
 
-// Forget drops models nobody has asked for, and workers taken off the list, since a time.
-func (g *Gateway) Forget(since float64) {
+// EvictIdle drops models nobody has asked for, and workers taken off the list, since a time.
+func (g *Gateway) EvictIdle(since float64) {
 	g.models.forget(since, math.MaxInt)
-	g.Members.Forget(since, func(r *membership.Worker) bool {
+	g.Members.EvictGone(since, func(r *membership.Worker) bool {
 		w := g.workers[r.ID]
 		if w == nil {
 			return true
 		}
-		if w.pending > 0 || w.hello != nil || w.again.Pending() || w.link.Conns() > 0 {
+		if w.pending > 0 || w.hello != nil || w.again.Pending() || w.link.ConnectionCount() > 0 {
 			return false
 		}
 		delete(g.workers, r.ID)
@@ -364,5 +364,5 @@
 	})
 }
 
-// Models is how many models are in use of late.
-func (g *Gateway) Models() int { return len(g.models.byID) }
+// ModelCount is how many models are in use of late.
+func (g *Gateway) ModelCount() int { return len(g.models.byID) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,11 +16,11 @@
 
 	"mastchute/control"
 	"mastchute/internal/config"
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
 	"mastchute/internal/membership"
-	"mastchute/internal/permit"
+	"mastchute/internal/rules"
 )
 
 func TestReturnedAnswerGoesThrough(t *testing.T) {
@@ -98,13 +98,13 @@
 		{post("/v2/models/read-1/infer", "", strings.Repeat("x", 101)), 413},
 	} {
 		conn := r.dial()
-		if a := exchange(conn, bufio.NewReader(conn), c.text); a.status != c.status || a.answer != "" || a.header.Get("Content-Type") != h1.ProblemType {
+		if a := exchange(conn, bufio.NewReader(conn), c.text); a.status != c.status || a.answer != "" || a.header.Get("Content-Type") != httpconn.ProblemType {
 			t.Errorf("%q: %+v", c.text, a)
 		}
 	}
 	r.on(func() {
-		if r.g.seq != 0 || r.g.inFlight != 0 || r.g.front.Held() != 0 {
-			t.Errorf("taken %d, in hand %d, %d bytes held", r.g.seq, r.g.inFlight, r.g.front.Held())
+		if r.g.seq != 0 || r.g.inFlight != 0 || r.g.front.BufferedBytes() != 0 {
+			t.Errorf("taken %d, in hand %d, %d bytes held", r.g.seq, r.g.inFlight, r.g.front.BufferedBytes())
 		}
 	})
 }
@@ -115,12 +115,12 @@
 	big := strings.Repeat("x", 40_000)
 	c := r.dial()
 	fmt.Fprintf(c, "POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 40000\r\n\r\n%s", big)
-	r.until("the first is held", func() bool { return r.g.front.Held() == 40_000 })
+	r.until("the first is held", func() bool { return r.g.front.BufferedBytes() == 40_000 })
 	if a := r.ask("read-1", "", big); a.status != 503 || a.answer != "" {
 		t.Errorf("%+v", a)
 	}
 	c.Close()
-	r.until("its memory is handed back", func() bool { return r.g.front.Held() == 0 && r.g.inFlight == 0 })
+	r.until("its memory is handed back", func() bool { return r.g.front.BufferedBytes() == 0 && r.g.inFlight == 0 })
 }
 
 // Rule 1: a worker that says nothing costs the client no more than its time; nothing is sent after.
@@ -196,7 +196,7 @@
 	a, b := newWorker(t, "w1", fine), newWorker(t, "w2", fine)
 	r := newRig(t, "", nil, a, b)
 	a.ln.Close()
-	r.on(func() { r.g.workers[r.g.Members.Named("w1").ID].link.CloseIdle() })
+	r.on(func() { r.g.workers[r.g.Members.ByName("w1").ID].link.CloseIdle() })
 	for i := range 8 {
 		r.expect(fmt.Sprintf("once-%d", i), 200, "returned")
 	}
@@ -234,18 +234,18 @@
 	r := newRig(t, "", nil, a)
 	looked := 0
 	r.on(func() {
-		turn := r.g.Loop.OnTurn
-		r.g.Loop.OnTurn = func() {
+		turn := r.g.Loop.AfterEvents
+		r.g.Loop.AfterEvents = func() {
 			turn()
 			for _, q := range r.g.requests {
 				if !q.live {
 					continue
 				}
 				for _, f := range q.attempts[:q.attempted] {
-					if c, _ := f.Call.(*httpCall); f.Index > 0 && !f.done && c.call.Peek == 0 {
+					if c, _ := f.TransportState.(*httpCall); f.Index > 0 && !f.done && c.call.SentAt == 0 {
 						looked++
-						c.call.NotAfter = r.g.Loop.Now() - 0.001 // the connection comes up a moment too late
-						q.group.Window = config.S(0)             // and so do all further ones
+						c.call.SendDeadline = r.g.Loop.Now() - 0.001 // the connection comes up a moment too late
+						q.group.Window = config.S(0)                 // and so do all further ones
 					}
 				}
 			}
@@ -264,15 +264,15 @@
 // The window counts from the first attempt that may have run.
 func TestWindowCountsFromTheFirstThatMayHaveRun(t *testing.T) {
 	q := &Request{group: &group{}, attempted: 4}
-	q.group.effect, q.group.Window = permit.Deduplicated, config.S(2)
-	q.attempts = [maxAttempts]*Attempt{{made: 1, done: true, result: control.Full}, {made: 3, done: true, result: control.Reset}, {made: 4}, {made: 4.5}}
+	q.group.effect, q.group.Window = rules.Deduplicated, config.S(2)
+	q.attempts = [maxAttempts]*Attempt{{made: 1, done: true, result: control.AtCapacity}, {made: 3, done: true, result: control.ConnectionReset}, {made: 4}, {made: 4.5}}
 	if until := repeatsUntil(q.terms(nil, q.attempted-1)); until != 5 {
 		t.Errorf("it ends at %g", until)
 	}
 	if q.attempted = 2; !math.IsInf(repeatsUntil(q.terms(nil, q.attempted-1)), 1) {
 		t.Error("a forward that never ran begins the window")
 	}
-	if q.attempted, q.group.effect = 4, permit.Retriable; !math.IsInf(repeatsUntil(q.terms(nil, q.attempted-1)), 1) {
+	if q.attempted, q.group.effect = 4, rules.Retriable; !math.IsInf(repeatsUntil(q.terms(nil, q.attempted-1)), 1) {
 		t.Error("a retriable one has a window")
 	}
 }
@@ -290,16 +290,16 @@
 		go func() { defer wg.Done(); r.expect("read-1", 200, "returned") }()
 	}
 	r.until("four wait for the connection", func() bool {
-		return len(a.seen()) == 2 && r.g.workers[r.g.Members.Named("w1").ID].link.Queued() == 4
+		return len(a.seen()) == 2 && r.g.workers[r.g.Members.ByName("w1").ID].link.QueuedCount() == 4
 	})
 	r.on(func() {
-		if err := r.g.Rule(membership.Entry{Name: "w2", Addr: mustAddr(b), State: control.Ready, Weight: 1}); err != nil {
+		if err := r.g.SetAdminState(membership.Entry{Name: "w2", Addr: mustAddr(b), State: control.Ready, Weight: 1}); err != nil {
 			t.Error(err)
 		}
 	})
-	r.until("w2 is told of", func() bool { return r.g.workers[r.g.Members.Named("w2").ID].told })
+	r.until("w2 is told of", func() bool { return r.g.workers[r.g.Members.ByName("w2").ID].told })
 	r.on(func() {
-		if err := r.g.Rule(membership.Entry{Name: "w1", State: control.Draining}); err != nil {
+		if err := r.g.SetAdminState(membership.Entry{Name: "w1", State: control.Draining}); err != nil {
 			t.Error(err)
 		}
 	})
@@ -353,7 +353,7 @@
 		w.mu.Unlock()
 		if how == "ready again" {
 			for _, s := range []control.WorkerState{control.Draining, control.Ready} {
-				r.on(func() { r.g.Rule(membership.Entry{Name: "w1", State: s}) })
+				r.on(func() { r.g.SetAdminState(membership.Entry{Name: "w1", State: s}) })
 			}
 		} else {
 			w.mu.Lock()
@@ -364,14 +364,14 @@
 		}
 		c := <-asked
 		r.on(func() {
-			if l := r.g.Members.Named("w1").Line(); how == "ready again" && l.State != control.Draining {
+			if l := r.g.Members.ByName("w1").Advertised(); how == "ready again" && l.State != control.Draining {
 				t.Errorf("%s: told as %+v before it answered", how, l)
 			}
 		})
 		c.Close() // no answer: it is asked again
 		c = <-asked
 		reply(200, "", "")(c, nil)
-		r.until(how+": it is ready", func() bool { return r.g.Members.Named("w1").Line().State == control.Ready })
+		r.until(how+": it is ready", func() bool { return r.g.Members.ByName("w1").Advertised().State == control.Ready })
 		r.expect("read-1", 200, "returned")
 	}
 }
@@ -400,7 +400,7 @@
 				if !q.live {
 					continue
 				}
-				if q.live && q.streaming != nil && q.Client.(*httpClient).x.Waiting() > 128<<10 {
+				if q.live && q.streaming != nil && q.Responder.(*httpClient).x.UnsentBytes() > 128<<10 {
 					return true
 				}
 			}
@@ -411,8 +411,8 @@
 				if !q.live {
 					continue
 				}
-				if q.live && q.Client != nil && q.Client.(*httpClient).x.Waiting() > 512<<10 {
-					t.Errorf("%d bytes wait for a client that reads nothing", q.Client.(*httpClient).x.Waiting())
+				if q.live && q.Responder != nil && q.Responder.(*httpClient).x.UnsentBytes() > 512<<10 {
+					t.Errorf("%d bytes wait for a client that reads nothing", q.Responder.(*httpClient).x.UnsentBytes())
 				}
 			}
 		})
@@ -483,15 +483,15 @@
 	var f *Attempt
 	r.until("the forward waits for the worker to read", func() bool {
 		for _, q := range r.g.requests {
-			if q.live && q.attempted > 0 && q.attempts[0].Worker.link.Handed(q.attempts[0]) > 0 {
+			if q.live && q.attempted > 0 && q.attempts[0].Worker.link.SentAt(q.attempts[0]) > 0 {
 				f = q.attempts[0]
 			}
 		}
-		return f != nil && f.Call.(*httpCall).call.Waiting() > 0
+		return f != nil && f.TransportState.(*httpCall).call.UnsentBytes() > 0
 	})
 	r.on(func() {
-		if n := f.Call.(*httpCall).call.Waiting(); n > 256<<10 || f.Call.(*httpCall).call.Whole() {
-			t.Errorf("%d bytes are held for the worker, whole %v", n, f.Call.(*httpCall).call.Whole())
+		if n := f.TransportState.(*httpCall).call.UnsentBytes(); n > 256<<10 || f.TransportState.(*httpCall).call.FullySent() {
+			t.Errorf("%d bytes are held for the worker, whole %v", n, f.TransportState.(*httpCall).call.FullySent())
 		}
 	})
 	close(goOn)
@@ -509,21 +509,21 @@
 	settle func(b *broke)
 }
 
-func (b *broke) Request(q control.Request) { b.id = q.ID }
-func (b *broke) Workers(_ control.ListKind, _ uint32, l []control.WorkerInfo) {
+func (b *broke) RequestArrived(q control.Request) { b.id = q.ID }
+func (b *broke) UpdateWorkers(_ control.WorkerListKind, _ uint32, l []control.WorkerInfo) {
 	if len(l) > 0 {
 		b.w = l[0].ID
 	}
 }
-func (b *broke) Settle() {
+func (b *broke) Reconcile() {
 	if b.id != 0 {
 		b.settle(b)
 	}
 }
-func (b *broke) Outcome(control.Outcome)     {}
-func (b *broke) Withdrawn(control.RequestID) {}
+func (b *broke) AttemptFinished(control.AttemptResult) {}
+func (b *broke) RequestCancelled(control.RequestID)    {}
 
-func brokeStart(f func(b *broke)) Start {
+func brokeStart(f func(b *broke)) NewModule {
 	return func(seed uint64, s control.Settings, a control.Actions) control.Module {
 		return &broke{Module: control.New(seed, s, a), act: a, settle: f}
 	}
@@ -537,8 +537,8 @@
 	if err := <-r.done; err != nil {
 		t.Error(err)
 	}
-	if r.g.Exit().Crash != "odd" {
-		t.Errorf("%+v", r.g.Exit())
+	if r.g.ExitStatus().PanicMessage != "odd" {
+		t.Errorf("%+v", r.g.ExitStatus())
 	}
 	r.done <- nil // for the clean-up
 }
@@ -555,8 +555,8 @@
 	w := newWorker(t, "w1", fine)
 	r := newRig(t, "", brokeStart(func(b *broke) {
 		b.act.Shed(b.id, 0.5)
-		b.act.Shed(b.id, 0.5)       // a second answer
-		b.act.Attempt(b.id, b.w, 0) // and an attempt after it
+		b.act.Shed(b.id, 0.5)           // a second answer
+		b.act.SendAttempt(b.id, b.w, 0) // and an attempt after it
 		b.id = 0
 	}), w)
 	a := r.ask("read-1", "", "in")
@@ -584,8 +584,8 @@
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle connection is not closed")
 	}
-	if err := <-r.done; err != nil || r.g.Exit() != (Exit{}) {
-		t.Errorf("%v %+v", err, r.g.Exit())
+	if err := <-r.done; err != nil || r.g.ExitStatus() != (ExitStatus{}) {
+		t.Errorf("%v %+v", err, r.g.ExitStatus())
 	}
 	if c, err := net.Dial("tcp", r.g.Addr().String()); err == nil {
 		c.Close()
@@ -605,8 +605,8 @@
 		t.Errorf("%+v", a)
 	}
 	<-r.done
-	if r.g.Exit().Failed != 1 {
-		t.Errorf("%+v", r.g.Exit())
+	if r.g.ExitStatus().FailedRequests != 1 {
+		t.Errorf("%+v", r.g.ExitStatus())
 	}
 	r.done <- nil
 }
@@ -616,7 +616,7 @@
 	r := newRig(t, "", nil, a)
 	r.expect("read-1", 200, "returned")
 	r.on(func() {
-		r.g.Replace(membership.Config, []membership.Entry{{Name: "w1", Addr: mustAddr(b), State: control.Ready, Weight: 1}})
+		r.g.ReplaceWorkers(membership.SourceConfig, []membership.Entry{{Name: "w1", Addr: mustAddr(b), State: control.Ready, Weight: 1}})
 	})
 	r.expect("read-1", 200, "returned")
 	if len(a.seen()) != 1 || len(b.seen()) != 1 {
@@ -629,11 +629,11 @@
 	if raceOn {
 		t.Skip("the race detector allocates")
 	}
-	worker, err := loop.New(0)
+	worker, err := eventloop.New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv, err := h1.NewServer(worker, free, warmEcho{}, h1.ServerOptions{})
+	srv, err := httpconn.NewServer(worker, free, warmEcho{}, httpconn.ServerOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -642,20 +642,20 @@
 	s := newWorker(t, "w0", fine)
 	r := newRig(t, "log: {sample: 0}\n", nil, s)
 	r.on(func() {
-		r.g.Replace(membership.Config, []membership.Entry{{Name: "w1", Addr: srv.Addr(), State: control.Ready, Weight: 1}})
+		r.g.ReplaceWorkers(membership.SourceConfig, []membership.Entry{{Name: "w1", Addr: srv.Addr(), State: control.Ready, Weight: 1}})
 	})
-	r.until("the echo worker is told of", func() bool { w := r.g.Members.Named("w1"); return w != nil && r.g.workers[w.ID].told })
-	client, err := loop.New(0)
+	r.until("the echo worker is told of", func() bool { w := r.g.Members.ByName("w1"); return w != nil && r.g.workers[w.ID].told })
+	client, err := eventloop.New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &closed{pool: h1.NewPool(client, r.g.Addr(), h1.PoolOptions{Conns: 8}), warm: 4000, total: 24000}
+	c := &closed{pool: httpconn.NewPool(client, r.g.Addr(), httpconn.PoolOptions{MaxConnections: 8}), warm: 4000, total: 24000}
 	c.head = []byte("POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n")
 	c.stop = client.Stop
-	client.Later(func() {
+	client.Defer(func() {
 		for i := range c.calls {
 			c.calls[i].c = c
-			c.calls[i].call.Caller = &c.calls[i]
+			c.calls[i].call.Handler = &c.calls[i]
 			c.pool.Do(&c.calls[i].call, c.head, []byte("in"))
 		}
 	})
@@ -674,7 +674,7 @@
 }
 
 type closed struct {
-	pool          *h1.Pool
+	pool          *httpconn.Pool
 	calls         [8]closedCall
 	head          []byte
 	n, bad        int
@@ -685,13 +685,13 @@
 
 type closedCall struct {
 	c      *closed
-	call   h1.Call
+	call   httpconn.Call
 	status int
 }
 
-func (q *closedCall) Head(h *http1.Head) { q.status = h.Status }
-func (q *closedCall) Body([]byte)        {}
-func (q *closedCall) End(err error) {
+func (q *closedCall) ResponseHead(h *httpcodec.Head) { q.status = h.Status }
+func (q *closedCall) ResponseBody([]byte)            {}
+func (q *closedCall) ResponseDone(err error) {
 	c := q.c
 	if err != nil || q.status != 200 {
 		c.bad++
@@ -711,10 +711,10 @@
 
 type warmEcho struct{}
 
-func (warmEcho) Begin(*h1.Exchange) bool { return false }
-func (warmEcho) Request(x *h1.Exchange) {
-	x.Finish(append(x.Start(200), "Mastchute-Start: 1000.5\r\nMastchute-Found: warm\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1, named_metrics.queue=0\r\n"...), inBody)
+func (warmEcho) HeadReceived(*httpconn.Exchange) bool { return false }
+func (warmEcho) RequestReceived(x *httpconn.Exchange) {
+	x.FinishResponse(append(x.StartResponse(200), "Mastchute-Start: 1000.5\r\nMastchute-Found: warm\r\nendpoint-load-metrics: TEXT named_metrics.inflight=1, named_metrics.queue=0\r\n"...), inBody)
 }
-func (warmEcho) Left(*h1.Exchange)    {}
-func (warmEcho) Drained(*h1.Exchange) {}
-func (warmEcho) Refused(*http1.Error) {}
+func (warmEcho) ClientGone(*httpconn.Exchange)     {}
+func (warmEcho) StreamWritable(*httpconn.Exchange) {}
+func (warmEcho) RequestRefused(*httpcodec.Error)   {}
--- a/internal/gateway/http_front.go
+++ b/internal/gateway/http_front.go
@@ -10,20 +10,20 @@
 
 	"mastchute/control"
 	"mastchute/internal/config"
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
 	"mastchute/internal/membership"
 )
 
-// New makes a gateway that listens for HTTP/1.1 as configured. Run the loop to serve; at must be the configured address.
-func New(l *loop.Loop, cfg *config.Config, log zerolog.Logger, start Start) (*Gateway, error) {
-	list, err := Entries(cfg.Workers)
+// NewHTTP makes a gateway that listens for HTTP/1.1 as configured. Run the loop to serve; at must be the configured address.
+func NewHTTP(l *eventloop.Loop, cfg *config.Config, log zerolog.Logger, start NewModule) (*Gateway, error) {
+	list, err := MembershipEntries(cfg.Workers)
 	if err != nil {
 		return nil, err
 	}
-	return NewHost(l, Options{Config: cfg, Settings: cfg.Settings(), Seed: cfg.Seed, Source: membership.Config, Workers: list,
-		Front: func(g *Gateway) (Front, error) { return newHTTP(g) }}, log, start)
+	return New(l, Options{Config: cfg, Settings: cfg.Settings(), Seed: cfg.Seed, Source: membership.SourceConfig, Workers: list,
+		NewClientTransport: func(g *Gateway) (ClientTransport, error) { return newHTTP(g) }}, log, start)
 }
 
 // Addr is the address that HTTP/1.1 listens on. Safe before the loop runs.
@@ -32,8 +32,8 @@
 // httpFront takes clients in over HTTP/1.1.
 type httpFront struct {
 	g       *Gateway
-	server  *h1.Server
-	budget  h1.Budget
+	server  *httpconn.Server
+	budget  httpconn.MemoryBudget
 	free    []*httpClient
 	scratch []byte
 }
@@ -46,23 +46,23 @@
 	if err != nil {
 		return nil, err
 	}
-	p.server, err = h1.NewServer(g.Loop, at, p, h1.ServerOptions{
-		Limits:      http1.Limits{Line: min(8<<10, int(lim.Head.Bytes)), Head: int(lim.Head.Bytes), Headers: 100, Body: lim.Body.Bytes},
+	p.server, err = httpconn.NewServer(g.Loop, at, p, httpconn.ServerOptions{
+		Limits:      httpcodec.Limits{Line: min(8<<10, int(lim.Head.Bytes)), Head: int(lim.Head.Bytes), Headers: 100, Body: lim.Body.Bytes},
 		IdleTimeout: lim.IdleTimeout.Seconds, HeadTimeout: lim.HeadTimeout.Seconds, BodyTimeout: lim.BodyTimeout.Seconds,
 		Budget: &p.budget})
 	return p, err
 }
 
 // Drain, Conns, Held and Link implement Front.
-func (p *httpFront) Drain()              { p.server.Drain() }
-func (p *httpFront) Conns() int          { return p.server.Conns() }
-func (p *httpFront) Held() int64         { return p.budget.Used }
-func (p *httpFront) Link(w *Worker) Link { return newHTTPLink(p.g, w) }
+func (p *httpFront) Drain()                                       { p.server.Drain() }
+func (p *httpFront) ConnectionCount() int                         { return p.server.ConnectionCount() }
+func (p *httpFront) BufferedBytes() int64                         { return p.budget.Used }
+func (p *httpFront) NewWorkerTransport(w *Worker) WorkerTransport { return newHTTPLink(p.g, w) }
 
 // httpClient is the client's side of one request.
 type httpClient struct {
 	p *httpFront
-	x *h1.Exchange
+	x *httpconn.Exchange
 	q *Request
 }
 
@@ -71,24 +71,24 @@
 	return ok && err == nil
 }
 
-// Begin implements h1.Service: refusals before the body is read, and the small paths.
-func (p *httpFront) Begin(x *h1.Exchange) bool {
+// HeadReceived implements httpconn.Service: refusals before the body is read, and the small paths.
+func (p *httpFront) HeadReceived(x *httpconn.Exchange) bool {
 	g := p.g
 	h := &x.Head
 	name, verb, ok := modelPath(h.Target)
 	switch {
 	case ok && string(verb) == "infer":
-		if !http1.Is(h.Method, "post") {
+		if !httpcodec.EqualsLower(h.Method, "post") {
 			return p.refuse(x, "method", 405, "write POST")
 		}
-	case ok && string(verb) == "ready" && (http1.Is(h.Method, "get") || http1.Is(h.Method, "head")):
+	case ok && string(verb) == "ready" && (httpcodec.EqualsLower(h.Method, "get") || httpcodec.EqualsLower(h.Method, "head")):
 		m, err := g.lookup(name)
 		if m == nil || err != nil {
 			return p.refuse(x, "unknown_model", 404, "no such model in the catalogue")
 		}
 		return p.health(x, g.ready())
 	case string(h.Target) == "/v2/health/live":
-		return p.health(x, g.exit.Crash == "")
+		return p.health(x, g.exit.PanicMessage == "")
 	case string(h.Target) == "/v2/health/ready":
 		return p.health(x, g.ready())
 	default:
@@ -119,12 +119,12 @@
 	return false
 }
 
-func (p *httpFront) health(x *h1.Exchange, well bool) bool {
+func (p *httpFront) health(x *httpconn.Exchange, well bool) bool {
 	if !well {
 		x.Problem(503, "not ready")
 		return true
 	}
-	x.Finish(x.Start(200), nil)
+	x.FinishResponse(x.StartResponse(200), nil)
 	return true
 }
 
@@ -142,25 +142,27 @@
 }
 
 // refuse answers before a request is taken: no Mastchute-Answer, since nothing was taken.
-func (p *httpFront) refuse(x *h1.Exchange, why string, status int, text string) bool {
+func (p *httpFront) refuse(x *httpconn.Exchange, why string, status int, text string) bool {
 	p.g.Metrics.refused(why)
-	b := x.Start(status)
-	b = http1.AppendHeader(b, "Content-Type", h1.ProblemType)
+	b := x.StartResponse(status)
+	b = httpcodec.AppendHeader(b, "Content-Type", httpconn.ProblemType)
 	if status == 503 {
 		b = append(b, "Retry-After: 1\r\n"...)
 	}
 	if status == 405 {
 		b = append(b, "Allow: POST\r\n"...)
 	}
-	x.Finish(b, h1.AppendProblem(nil, status, text))
+	x.FinishResponse(b, httpconn.AppendProblem(nil, status, text))
 	return true
 }
 
-// Refused implements h1.Service.
-func (p *httpFront) Refused(e *http1.Error) { p.g.Metrics.refused("http_" + strconv.Itoa(e.Status)) }
+// RequestRefused implements httpconn.Service.
+func (p *httpFront) RequestRefused(e *httpcodec.Error) {
+	p.g.Metrics.refused("http_" + strconv.Itoa(e.Status))
+}
 
-// Request implements h1.Service: a request is taken.
-func (p *httpFront) Request(x *h1.Exchange) {
+// RequestReceived implements httpconn.Service: a request is taken.
+func (p *httpFront) RequestReceived(x *httpconn.Exchange) {
 	g := p.g
 	name, _, _ := modelPath(x.Head.Target)
 	m, err := g.lookup(name)
@@ -168,10 +170,10 @@
 		p.refuse(x, "stopping", 503, "the dispatcher is stopping or full") // since its head came in
 		return
 	}
-	in := control.Request{Group: m.group.index, MemoryMB: m.Memory, Lanes: m.Lanes, Load: m.Load, NotAfter: math.Inf(1),
-		Repeat: http1.Is(x.Head.Get("mastchute-repeat"), "true"), Work: number(x.Head.Get("mastchute-work"))}
+	in := control.Request{Group: m.group.index, MemoryMB: m.Memory, Concurrency: m.Lanes, LoadTimeHint: m.Load, Deadline: math.Inf(1),
+		ClientRetry: httpcodec.EqualsLower(x.Head.Get("mastchute-repeat"), "true"), WorkHint: number(x.Head.Get("mastchute-work"))}
 	if v := x.Head.Get("mastchute-timeout"); v != nil {
-		in.NotAfter = x.HeardAt() + number(v)
+		in.Deadline = x.ReceivedAt() + number(v)
 	}
 	tenant := -1
 	if t := x.Head.Get("mastchute-tenant"); len(t) > 0 {
@@ -180,17 +182,17 @@
 		}
 	}
 	c := p.take(x)
-	c.q = g.Accept(c, m, tenant, x.HeardAt(), in)
+	c.q = g.AcceptRequest(c, m, tenant, x.ReceivedAt(), in)
 }
 
-func (p *httpFront) take(x *h1.Exchange) *httpClient {
+func (p *httpFront) take(x *httpconn.Exchange) *httpClient {
 	var c *httpClient
 	if n := len(p.free); n > 0 {
 		c, p.free = p.free[n-1], p.free[:n-1]
 	} else {
 		c = &httpClient{p: p}
 	}
-	c.x, x.Owner = x, c
+	c.x, x.ServiceState = x, c
 	return c
 }
 
@@ -199,63 +201,63 @@
 	p.free = append(p.free, c)
 }
 
-// Left implements h1.Service: the client has gone.
-func (p *httpFront) Left(x *h1.Exchange) {
-	if c, _ := x.Owner.(*httpClient); c != nil && c.x == x {
+// ClientGone implements httpconn.Service: the client has gone.
+func (p *httpFront) ClientGone(x *httpconn.Exchange) {
+	if c, _ := x.ServiceState.(*httpClient); c != nil && c.x == x {
 		q := c.q
 		p.put(c)
-		p.g.Left(q)
+		p.g.ClientGone(q)
 	}
 }
 
-// Drained implements h1.Service: a streamed answer has room again.
-func (p *httpFront) Drained(x *h1.Exchange) {
-	if c, _ := x.Owner.(*httpClient); c != nil && c.x == x && c.q.streaming != nil {
-		c.q.streaming.Call.(*httpCall).call.Resume()
+// StreamWritable implements httpconn.Service: a streamed answer has room again.
+func (p *httpFront) StreamWritable(x *httpconn.Exchange) {
+	if c, _ := x.ServiceState.(*httpClient); c != nil && c.x == x && c.q.streaming != nil {
+		c.q.streaming.TransportState.(*httpCall).call.Resume()
 	}
 }
 
-// Returned implements Client.
-func (c *httpClient) Returned(q *Request, f *Attempt) {
-	x, call := c.x, f.Call.(*httpCall)
+// WriteResponse implements Client.
+func (c *httpClient) WriteResponse(q *Request, f *Attempt) {
+	x, call := c.x, f.TransportState.(*httpCall)
 	c.p.put(c)
 	if q.streaming == f {
-		x.End()
+		x.EndStream()
 		return
 	}
-	b := c.p.marks(x.Start(call.status), q, answerReturned)
-	x.Finish(append(b, call.headers...), f.Body)
+	b := c.p.marks(x.StartResponse(call.status), q, answerReturned)
+	x.FinishResponse(append(b, call.headers...), f.ResponseBody)
 }
 
-// Shed implements Client.
-func (c *httpClient) Shed(q *Request, retry float64) {
+// WriteShed implements Client.
+func (c *httpClient) WriteShed(q *Request, retry float64) {
 	x := c.x
 	c.p.put(c)
-	b := c.p.marks(x.Start(503), q, answerShed)
+	b := c.p.marks(x.StartResponse(503), q, answerShed)
 	b = append(b, "Content-Type: application/problem+json\r\nRetry-After: "...)
 	b = strconv.AppendInt(b, int64(math.Ceil(retry)), 10)
 	b = append(b, "\r\nMastchute-Retry-After: "...)
 	b = appendSeconds(b, retry)
 	b = append(b, "\r\n"...)
-	c.p.scratch = h1.AppendProblem(c.p.scratch[:0], 503, "no worker can take this now; trying again is harmless")
-	x.Finish(b, c.p.scratch)
+	c.p.scratch = httpconn.AppendProblem(c.p.scratch[:0], 503, "no worker can take this now; trying again is harmless")
+	x.FinishResponse(b, c.p.scratch)
 }
 
-// Failed implements Client.
-func (c *httpClient) Failed(q *Request, late bool, why string) {
+// WriteFailure implements Client.
+func (c *httpClient) WriteFailure(q *Request, late bool, why string) {
 	x, status := c.x, 502
 	c.p.put(c)
 	if late {
 		status = 504
 	}
 	if q.streaming != nil { // the answer has begun: it can only be cut off, so that the client sees it
-		x.Break()
+		x.AbortStream()
 		return
 	}
-	b := c.p.marks(x.Start(status), q, answerFailed)
+	b := c.p.marks(x.StartResponse(status), q, answerFailed)
 	b = append(b, "Content-Type: application/problem+json\r\n"...)
-	c.p.scratch = h1.AppendProblem(c.p.scratch[:0], status, why)
-	x.Finish(b, c.p.scratch)
+	c.p.scratch = httpconn.AppendProblem(c.p.scratch[:0], status, why)
+	x.FinishResponse(b, c.p.scratch)
 }
 
 // marks are the headers of every final answer.
--- a/internal/gateway/http_link.go
+++ b/internal/gateway/http_link.go
@@ -5,23 +5,23 @@
 	"strconv"
 
 	"mastchute/control"
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/permit"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
+	"mastchute/internal/rules"
 )
 
 // httpLink is the way to one worker over HTTP/1.1.
 type httpLink struct {
 	g *Gateway
-	*h1.Pool
+	*httpconn.Pool
 }
 
 func newHTTPLink(g *Gateway, w *Worker) *httpLink {
 	l := g.cfg.Limits
-	return &httpLink{g, h1.NewPool(g.Loop, w.Addr, h1.PoolOptions{Conns: l.WorkerConnections, Idle: l.WorkerIdle,
+	return &httpLink{g, httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{MaxConnections: l.WorkerConnections, MaxIdle: l.WorkerIdle,
 		IdleTimeout: l.WorkerIdleTimeout.Seconds, ConnectTimeout: l.ConnectTimeout.Seconds,
-		Lost: func() {
-			if w.Lost() {
+		OnConnectionLost: func() {
+			if w.ConnectionLost() {
 				g.greet(w)
 			}
 		}})}
@@ -30,7 +30,7 @@
 // httpCall is the record of one attempt; it stays with it.
 type httpCall struct {
 	f       *Attempt
-	call    h1.Call
+	call    httpconn.Call
 	head    []byte
 	status  int
 	headers []byte // of the answer, for the client
@@ -40,76 +40,76 @@
 
 // httpOrder is the record of one order; it stays with it.
 type httpOrder struct {
-	o    *Order
-	call h1.Call
+	o    *ControlCall
+	call httpconn.Call
 	head []byte
 	body []byte
 	told told
 }
 
-// Send implements Link.
-func (l *httpLink) Send(f *Attempt) {
-	c, _ := f.Call.(*httpCall)
+// SendAttempt implements Link.
+func (l *httpLink) SendAttempt(f *Attempt) {
+	c, _ := f.TransportState.(*httpCall)
 	if c == nil {
 		c = &httpCall{f: f}
-		c.call.Caller, f.Call = c, c
+		c.call.Handler, f.TransportState = c, c
 	}
-	x := f.Request.Client.(*httpClient).x
+	x := f.Request.Responder.(*httpClient).x
 	c.headers, c.status, c.length, c.told = c.headers[:0], 0, -1, told{}
 	c.head = l.g.requestHead(c.head[:0], x, f)
-	c.call.NotAfter = f.NotAfter
+	c.call.SendDeadline = f.SendDeadline
 	l.Do(&c.call, c.head, x.Body)
 }
 
-// Renew implements h1.Renewer.
-func (c *httpCall) Renew() ([]byte, bool) {
+// RewriteHead implements httpconn.Renewer.
+func (c *httpCall) RewriteHead() ([]byte, bool) {
 	f := c.f
 	now := f.g.Loop.Clock()
-	if f.Permit(now, now, 0) != permit.Allowed {
+	if f.CheckFirstByte(now, now, 0) != rules.Allowed {
 		return nil, false
 	}
-	c.head = f.g.requestHead(c.head[:0], f.Request.Client.(*httpClient).x, f)
+	c.head = f.g.requestHead(c.head[:0], f.Request.Responder.(*httpClient).x, f)
 	return c.head, true
 }
 
-// Cancel implements Link.
-func (l *httpLink) Cancel(f *Attempt) {
-	if c, _ := f.Call.(*httpCall); c != nil {
+// CancelAttempt implements Link.
+func (l *httpLink) CancelAttempt(f *Attempt) {
+	if c, _ := f.TransportState.(*httpCall); c != nil {
 		c.call.Cancel()
 	}
 }
 
-// Handed implements Link.
-func (l *httpLink) Handed(f *Attempt) float64 {
-	if c, _ := f.Call.(*httpCall); c != nil {
-		return c.call.Peek
+// SentAt implements Link.
+func (l *httpLink) SentAt(f *Attempt) float64 {
+	if c, _ := f.TransportState.(*httpCall); c != nil {
+		return c.call.SentAt
 	}
 	return 0
 }
 
-// Whole implements Link.
-func (l *httpLink) Whole(f *Attempt) bool {
-	c, _ := f.Call.(*httpCall)
-	return c != nil && c.call.Whole()
+// FullySent implements Link.
+func (l *httpLink) FullySent(f *Attempt) bool {
+	c, _ := f.TransportState.(*httpCall)
+	return c != nil && c.call.FullySent()
 }
 
-// Order implements Link.
-func (l *httpLink) Order(o *Order) {
-	c, _ := o.Call.(*httpOrder)
+// SendControlCall implements Link.
+func (l *httpLink) SendControlCall(o *ControlCall) {
+	c, _ := o.TransportState.(*httpOrder)
 	if c == nil {
 		c = &httpOrder{o: o}
-		c.call.Caller, o.Call = c, c
+		c.call.Handler, o.TransportState = c, c
 	}
 	c.told = told{}
 	method, target, body := "GET", "/v2/load", ""
 	switch o.Kind {
-	case OrderLoad:
+	case CallLoadModel:
 		method, target = "POST", "/v2/repository/models/"+o.Model.Name+"/load"
-		body = `{"parameters":{"copies":` + strconv.Itoa(o.Copies) + `}}`
-	case OrderUnload:
+		body = `{"parameters":{"copies":` + strconv.Itoa(o.Replicas) + `}}`
+	case CallUnloadModel:
 		method, target, body = "POST", "/v2/repository/models/"+o.Model.Name+"/unload", "{}"
 	}
-	b := http1.AppendRequest(c.head[:0], method, target)
+	b := httpcodec.AppendRequest(c.head[:0], method, target)
 	b = append(b, "Host: "...)
 	b = o.Worker.Addr.AppendTo(b)
 	b = append(b, "\r\nMastchute-Dispatcher: "...)
@@ -117,21 +117,21 @@
 	b = append(b, "\r\n"...)
 	if method == "POST" {
 		b = append(b, "Content-Type: application/json\r\n"...)
-		b = http1.AppendLength(b, int64(len(body)))
+		b = httpcodec.AppendLength(b, int64(len(body)))
 	}
 	c.head, c.body = append(b, "\r\n"...), append(c.body[:0], body...)
 	l.Do(&c.call, c.head, c.body)
 }
 
-// Drop implements Link.
-func (l *httpLink) Drop(o *Order) {
-	if c, _ := o.Call.(*httpOrder); c != nil {
+// CancelControlCall implements Link.
+func (l *httpLink) CancelControlCall(o *ControlCall) {
+	if c, _ := o.TransportState.(*httpOrder); c != nil {
 		c.call.Cancel()
 	}
 }
 
 // requestHead writes the head of an attempt: the client's headers but those of its connection and ours, then ours.
-func (g *Gateway) requestHead(b []byte, x *h1.Exchange, f *Attempt) []byte {
+func (g *Gateway) requestHead(b []byte, x *httpconn.Exchange, f *Attempt) []byte {
 	q, h := f.Request, &x.Head
 	b = append(b, "POST /v2/models/"...)
 	b = append(b, q.model.Name...)
@@ -141,13 +141,13 @@
 	conn, key := h.Get("connection"), false
 	for i := range h.Headers {
 		n, v := h.Headers[i].Name, h.Headers[i].Value
-		if http1.HopByHop(n) || len(conn) > 0 && http1.Listed(conn, n) {
+		if httpcodec.IsHopByHop(n) || len(conn) > 0 && httpcodec.ListContains(conn, n) {
 			continue
 		}
-		if len(n) > 10 && http1.Is(n[:10], "mastchute-") && !http1.Is(n, "mastchute-tenant") && !http1.Is(n, "mastchute-work") {
+		if len(n) > 10 && httpcodec.EqualsLower(n[:10], "mastchute-") && !httpcodec.EqualsLower(n, "mastchute-tenant") && !httpcodec.EqualsLower(n, "mastchute-work") {
 			continue
 		}
-		key = key || http1.Is(n, "idempotency-key")
+		key = key || httpcodec.EqualsLower(n, "idempotency-key")
 		b = append(b, n...)
 		b = append(b, ": "...)
 		b = append(b, v...)
@@ -167,30 +167,30 @@
 	b = append(b, "\r\nMastchute-Group: "...)
 	b = append(b, q.group.Name...)
 	b = append(b, "\r\nMastchute-Timeout: "...)
-	b = appendSeconds(b, float64(permit.Budget(g.Loop.Clock(), q.notAfter))/1e3)
+	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), q.notAfter))/1e3)
 	b = append(b, "\r\n"...)
-	b = http1.AppendLength(b, int64(len(x.Body)))
+	b = httpcodec.AppendLength(b, int64(len(x.Body)))
 	return append(b, "\r\n"...)
 }
 
-// Head implements h1.Caller.
-func (c *httpCall) Head(h *http1.Head) {
+// ResponseHead implements httpconn.Caller.
+func (c *httpCall) ResponseHead(h *httpcodec.Head) {
 	f, g := c.f, c.f.g
 	c.told = classify(h, g.cfg.Report)
-	f.Reply = c.told.Reply
+	f.Response = c.told.WorkerResponse
 	c.status, c.length = h.Status, h.Length
 	g.heard(f.Worker, c.told.start)
-	if m := f.Request.model; c.told.Result == control.Returned { // what the catalogue does not say, workers may
+	if m := f.Request.model; c.told.Result == control.Succeeded { // what the catalogue does not say, workers may
 		m.Memory = cmp.Or(m.Memory, c.told.memory)
 		m.Lanes = cmp.Or(m.Lanes, c.told.lanes)
 		m.Load = cmp.Or(m.Load, c.told.load)
 	}
-	if c.told.Result != control.Returned || f.Request.answered {
+	if c.told.Result != control.Succeeded || f.Request.answered {
 		return
 	}
 	for i := range h.Headers {
 		n := h.Headers[i].Name
-		if http1.HopByHop(n) || http1.Is(n, "endpoint-load-metrics") || len(n) > 10 && http1.Is(n[:10], "mastchute-") {
+		if httpcodec.IsHopByHop(n) || httpcodec.EqualsLower(n, "endpoint-load-metrics") || len(n) > 10 && httpcodec.EqualsLower(n[:10], "mastchute-") {
 			continue
 		}
 		c.headers = append(c.headers, n...)
@@ -203,20 +203,20 @@
 	}
 }
 
-// Body implements h1.Caller: an answer is held whole up to a limit, and goes through as it comes beyond it.
-func (c *httpCall) Body(b []byte) {
+// ResponseBody implements httpconn.Caller: an answer is held whole up to a limit, and goes through as it comes beyond it.
+func (c *httpCall) ResponseBody(b []byte) {
 	f := c.f
 	q := f.Request
 	switch {
-	case c.told.Result != control.Returned || q.answered && q.streaming != f:
+	case c.told.Result != control.Succeeded || q.answered && q.streaming != f:
 		return
 	case q.streaming == f:
-		if !q.Client.(*httpClient).x.Write(b) {
+		if !q.Responder.(*httpClient).x.WriteStream(b) {
 			c.call.Pause()
 		}
 	default:
-		f.Body = append(f.Body, b...)
-		if int64(len(f.Body)) > f.g.cfg.Limits.Answer.Bytes {
+		f.ResponseBody = append(f.ResponseBody, b...)
+		if int64(len(f.ResponseBody)) > f.g.cfg.Limits.Answer.Bytes {
 			c.stream()
 		}
 	}
@@ -225,42 +225,42 @@
 // stream begins to pass the answer on as it comes.
 func (c *httpCall) stream() {
 	f := c.f
-	cl := f.Request.Client.(*httpClient)
+	cl := f.Request.Responder.(*httpClient)
 	x := cl.x
-	b := cl.p.marks(x.Start(c.status), f.Request, answerReturned)
+	b := cl.p.marks(x.StartResponse(c.status), f.Request, answerReturned)
 	b = append(b, c.headers...)
-	x.Stream(b, c.length)
-	if len(f.Body) > 0 && !x.Write(f.Body) {
+	x.StartStream(b, c.length)
+	if len(f.ResponseBody) > 0 && !x.WriteStream(f.ResponseBody) {
 		c.call.Pause()
 	}
-	f.Body = f.Body[:0]
+	f.ResponseBody = f.ResponseBody[:0]
 	f.g.stream(f)
 }
 
-// End implements h1.Caller.
-func (c *httpCall) End(err error) {
+// ResponseDone implements httpconn.Caller.
+func (c *httpCall) ResponseDone(err error) {
 	if err != nil {
-		c.f.End(lost(err, c.call.Wrote()))
+		c.f.Finish(lost(err, c.call.AnyByteSent()))
 		return
 	}
-	c.f.End(c.told.Result)
+	c.f.Finish(c.told.Result)
 }
 
-// Head implements h1.Caller.
-func (c *httpOrder) Head(h *http1.Head) {
+// ResponseHead implements httpconn.Caller.
+func (c *httpOrder) ResponseHead(h *httpcodec.Head) {
 	c.told = classify(h, c.o.g.cfg.Report)
-	c.o.Reply = c.told.Reply
+	c.o.Response = c.told.WorkerResponse
 	c.o.g.heard(c.o.Worker, c.told.start)
 }
 
-// Body implements h1.Caller.
-func (c *httpOrder) Body([]byte) {}
+// ResponseBody implements httpconn.Caller.
+func (c *httpOrder) ResponseBody([]byte) {}
 
-// End implements h1.Caller.
-func (c *httpOrder) End(err error) {
+// ResponseDone implements httpconn.Caller.
+func (c *httpOrder) ResponseDone(err error) {
 	if err != nil {
-		c.o.End(lost(err, c.call.Wrote()))
+		c.o.Finish(lost(err, c.call.AnyByteSent()))
 		return
 	}
-	c.o.End(c.told.Result)
+	c.o.Finish(c.told.Result)
 }
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -10,88 +10,88 @@
 // The host knows clients and workers by what follows and by nothing else. HTTP/1.1 (http_front.go, http_link.go) is one
 // implementation, internal/platform the other. All of it runs on the loop.
 
-// Client is the client's side of one request. The host calls exactly one method, once, and forgets the client; when
+// ResponseWriter is the client's side of one request. The host calls exactly one method, once, and forgets the client; when
 // the client goes first, its implementation calls Gateway.Left instead and hears nothing.
-type Client interface {
+type ResponseWriter interface {
 	// Returned passes on the answer that f holds.
-	Returned(q *Request, f *Attempt)
+	WriteResponse(q *Request, f *Attempt)
 	// Shed answers that trying again is harmless, after so many seconds where that may be told; 0 tells nothing.
-	Shed(q *Request, retryAfter float64)
+	WriteShed(q *Request, retryAfter float64)
 	// Failed answers that it did not work out; late tells that the client's time was the reason.
-	Failed(q *Request, late bool, why string)
+	WriteFailure(q *Request, late bool, why string)
 }
 
-// Front takes clients in by one protocol, and makes the links to workers.
-type Front interface {
+// ClientTransport takes clients in by one protocol, and makes the links to workers.
+type ClientTransport interface {
 	// Link makes the way to a worker; it connects when it is used.
-	Link(w *Worker) Link
+	NewWorkerTransport(w *Worker) WorkerTransport
 	// Drain takes nothing new in, and ends connections as they become idle.
 	Drain()
 	// Conns is how many connections of clients are open.
-	Conns() int
+	ConnectionCount() int
 	// Held is how many bytes of bodies are held.
-	Held() int64
+	BufferedBytes() int64
 }
 
-// Link is the way to one worker: it carries attempts and orders, and tells what became of them by Attempt.End and
+// WorkerTransport is the way to one worker: it carries attempts and orders, and tells what became of them by Attempt.End and
 // Order.End, later, once each, unless they were cancelled.
-type Link interface {
+type WorkerTransport interface {
 	// Send hands a request to the worker.
-	Send(f *Attempt)
+	SendAttempt(f *Attempt)
 	// Cancel gives an attempt up: what has not been sent never is, and nothing more is heard of it.
-	Cancel(f *Attempt)
+	CancelAttempt(f *Attempt)
 	// Handed is the loop's time when the attempt was handed to a connection that is up; 0 before.
-	Handed(f *Attempt) float64
+	SentAt(f *Attempt) float64
 	// Whole tells whether the attempt has been handed over so far that it cannot be held back.
-	Whole(f *Attempt) bool
+	FullySent(f *Attempt) bool
 	// Order sends a load order, an unload, a probe or a hello. One that has no answer ends when it is sent.
-	Order(o *Order)
+	SendControlCall(o *ControlCall)
 	// Drop gives an order up: nothing more is heard of it.
-	Drop(o *Order)
+	CancelControlCall(o *ControlCall)
 	// CloseIdle closes the connections that carry nothing.
 	CloseIdle()
 	// Abandon ends, as control.NotSent and soon, all that has not been sent.
-	Abandon()
+	FailUnsent()
 	// Close closes what is idle, and each other connection when it becomes so.
 	Close()
 	// Conns is how many connections there are, Queued how many attempts and orders wait to be sent.
-	Conns() int
-	Queued() int
+	ConnectionCount() int
+	QueuedCount() int
 }
 
-// Reply is what a worker's answer says beside the answer itself. Crowd is -1 and Fields 0 where not told.
-type Reply struct {
-	Result control.Result
-	Found  control.Found
-	Crowd  int
-	Report [8]float64 // load report by the configured fields
-	Fields int
-	Copies int
+// WorkerResponse is what a worker's answer says beside the answer itself. Crowd is -1 and Fields 0 where not told.
+type WorkerResponse struct {
+	Result            control.Result
+	ModelState        control.ModelState
+	SameModelInFlight int
+	LoadReport        [8]float64 // load report by the configured fields
+	LoadReportLen     int
+	Replicas          int
 }
 
 // Worker is a worker of the list of workers with the way to it.
 type Worker struct {
 	*membership.Worker
-	link    Link
+	link    WorkerTransport
 	addr    netip.AddrPort // the link's
 	epoch   float64        // the start that the list told when the link was made
 	told    bool           // the decisions have been told of it
 	pending int            // attempts and orders that have not ended
-	hello   *Order
+	hello   *ControlCall
 	again   timer // asks it once more for its start
 	meter   workerMeter
 }
 
 // Attempt is one sending of a request to a worker.
 type Attempt struct {
-	Request *Request
-	Worker  *Worker
-	Index   int // counted from 0
-	Reply   Reply
-	Body    []byte // of the answer, as far as it is held
-	Call    any    // the link's own record; it stays with this one when it is used again
+	Request        *Request
+	Worker         *Worker
+	Index          int // counted from 0
+	Response       WorkerResponse
+	ResponseBody   []byte // of the answer, as far as it is held
+	TransportState any    // the link's own record; it stays with this one when it is used again
 	// NotAfter is the loop's time after which none of it may leave: a repeat would no longer be dropped by the workers.
-	NotAfter float64
+	SendDeadline float64
 
 	g      *Gateway
 	made   float64 // when the decisions asked for it
@@ -102,30 +102,30 @@
 	result control.Result
 }
 
-// Done tells whether it has ended.
-func (f *Attempt) Done() bool { return f.done }
+// Finished tells whether it has ended.
+func (f *Attempt) Finished() bool { return f.done }
 
-// End tells how it ended, by a result that Heard or the connection tells; nothing after the first time.
-func (f *Attempt) End(r control.Result) { f.g.end(f, r) }
+// Finish tells how it ended, by a result that Heard or the connection tells; nothing after the first time.
+func (f *Attempt) Finish(r control.Result) { f.g.end(f, r) }
 
-// OrderKind says what an order asks for.
-type OrderKind uint8
+// ControlCallKind says what an order asks for.
+type ControlCallKind uint8
 
 const (
-	OrderLoad OrderKind = iota
-	OrderUnload
-	OrderProbe
-	OrderHello // its start, which the answer to a probe tells
+	CallLoadModel ControlCallKind = iota
+	CallUnloadModel
+	CallProbe
+	CallStartupProbe // its start, which the answer to a probe tells
 )
 
-// Order is a call to a worker that serves no request.
-type Order struct {
-	Kind   OrderKind
-	Worker *Worker
-	Model  *Model // nil for probes and hellos
-	Copies int
-	Reply  Reply
-	Call   any // the link's own record
+// ControlCall is a call to a worker that serves no request.
+type ControlCall struct {
+	Kind           ControlCallKind
+	Worker         *Worker
+	Model          *Model // nil for probes and hellos
+	Replicas       int
+	Response       WorkerResponse
+	TransportState any // the link's own record
 
 	g     *Gateway
 	made  float64
@@ -133,5 +133,5 @@
 	done  bool
 }
 
-// End tells how it ended; nothing after the first time.
-func (o *Order) End(r control.Result) { o.finish(r) }
+// Finish tells how it ended; nothing after the first time.
+func (o *ControlCall) Finish(r control.Result) { o.finish(r) }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -35,7 +35,7 @@
 
 type workerMeter struct {
 	attempts prometheus.Counter
-	ends     [control.Missed + 1]prometheus.Counter
+	ends     [control.ModelNotLoaded + 1]prometheus.Counter
 }
 
 func (m workerMeter) ended(r control.Result) { m.ends[r].Inc() }
@@ -72,11 +72,11 @@
 		Help: "Time from taking an inference to its returned answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}, []string{"group"})
 	m.Registry.MustRegister(m.latency, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	stats := &g.Loop.Stats
-	gauge("mastchute_connections", "Connections open, to clients and to workers.", func() float64 { return float64(stats.Conns.Load()) })
+	gauge("mastchute_connections", "Connections open, to clients and to workers.", func() float64 { return float64(stats.Connections.Load()) })
 	gauge("mastchute_accepted_total", "Connections accepted.", func() float64 { return float64(stats.Accepted.Load()) })
-	gauge("mastchute_no_descriptor_total", "Times accepting ran out of descriptors.", func() float64 { return float64(stats.NoDescriptor.Load()) })
+	gauge("mastchute_no_descriptor_total", "Times accepting ran out of descriptors.", func() float64 { return float64(stats.DescriptorShortages.Load()) })
 	gauge("mastchute_local_failures_total", "System calls that failed for want of the machine's means; they are tried again.", func() float64 { return float64(stats.LocalFailures.Load()) })
-	gauge("mastchute_standstills_total", "Times the process stood still for over 0.1 s.", func() float64 { return float64(stats.Standstills.Load()) })
+	gauge("mastchute_standstills_total", "Times the process stood still for over 0.1 s.", func() float64 { return float64(stats.Stalls.Load()) })
 	gauge("mastchute_loop_turns_total", "Turns of the loop.", func() float64 { return float64(stats.Turns.Load()) })
 	gauge("mastchute_loop_late_seconds", "How late the latest timer fired.", func() float64 { return float64(stats.LateNs.Load()) / 1e9 })
 	gauge("mastchute_loop_longest_turn_seconds", "Longest turn of the loop so far.", func() float64 { return float64(stats.TurnNs.Load()) / 1e9 })
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -4,30 +4,30 @@
 	"math"
 
 	"mastchute/control"
-	"mastchute/internal/flightrec"
-	"mastchute/internal/permit"
+	"mastchute/internal/flightrecorder"
+	"mastchute/internal/rules"
 )
 
 // terms is what the rules need to know of a request for an attempt at a worker, given the attempts before it.
-func (q *Request) terms(w *Worker, before int) permit.Request {
-	t := permit.Request{Answered: q.answered, NotAfter: q.notAfter, Effect: q.group.effect, RepeatsUntil: math.Inf(1)}
+func (q *Request) terms(w *Worker, before int) rules.Request {
+	t := rules.Request{Answered: q.answered, Deadline: q.notAfter, Effect: q.group.effect, DedupUntil: math.Inf(1)}
 	for _, f := range q.attempts[:before] {
 		if f.done && f.result.NeverRan() {
 			continue
 		}
 		if !t.MayHaveRun {
-			t.MayHaveRun, t.RepeatsUntil, t.InScope = true, f.made+q.group.Window.Seconds, true
+			t.MayHaveRun, t.DedupUntil, t.InDedupScope = true, f.made+q.group.Window.Seconds, true
 		}
-		t.InScope = t.InScope && q.group.covers(f.Worker, w)
+		t.InDedupScope = t.InDedupScope && q.group.covers(f.Worker, w)
 	}
 	return t
 }
 
 // repeatsUntil is when the window ends in which workers drop a repeat, counted from the first attempt that may have run;
 // endless where there is none, or where repeats do no harm.
-func repeatsUntil(t permit.Request) float64 {
-	if t.Effect == permit.Deduplicated && t.MayHaveRun {
-		return t.RepeatsUntil
+func repeatsUntil(t rules.Request) float64 {
+	if t.Effect == rules.Deduplicated && t.MayHaveRun {
+		return t.DedupUntil
 	}
 	return math.Inf(1)
 }
@@ -48,23 +48,23 @@
 // ready tells whether new work may go to a worker.
 func (w *Worker) ready() bool { return w.State == control.Ready }
 
-// Permit tells whether the first byte of an attempt may go to the kernel at a time of the loop's clock, in a message that
+// CheckFirstByte tells whether the first byte of an attempt may go to the kernel at a time of the loop's clock, in a message that
 // was written at another, for the renewed-th time. A refusal is counted: the attempt was overtaken on its way out, which is no fault.
-func (f *Attempt) Permit(now, written float64, renewed int) permit.Reason {
+func (f *Attempt) CheckFirstByte(now, written float64, renewed int) rules.Reason {
 	terms := f.Request.terms(f.Worker, f.Index)
-	terms.RepeatsUntil = f.NotAfter
-	why := permit.Leave(now, written, renewed, terms, f.Worker.ready())
-	if why != permit.Allowed {
+	terms.DedupUntil = f.SendDeadline
+	why := rules.CheckFirstByte(now, written, renewed, terms, f.Worker.ready())
+	if why != rules.Allowed {
 		f.g.Metrics.overtaken.WithLabelValues(ruleNames[why.Rule()], why.String()).Inc()
-		f.g.Note("overtaken", why.String(), f.Request, f.Worker, now-written)
+		f.g.RecordEvent("overtaken", why.String(), f.Request, f.Worker, now-written)
 	}
 	return why
 }
 
 // violation counts and logs that the decisions asked for what a rule forbids; it was not done.
-func (g *Gateway) violation(why permit.Reason, what string, q *Request, w *Worker) {
+func (g *Gateway) violation(why rules.Reason, what string, q *Request, w *Worker) {
 	g.Metrics.violations.WithLabelValues(ruleNames[why.Rule()], why.String()).Inc()
-	g.Note("violation", why.String(), q, w, 0)
+	g.RecordEvent("violation", why.String(), q, w, 0)
 	e := g.log.Error().Int("rule", why.Rule()).Stringer("reason", why).Str("act", what)
 	if q != nil {
 		e = e.Str("inference", string(g.appendID(nil, q))).Bytes("trace", q.trace[:])
@@ -77,9 +77,9 @@
 
 var ruleNames = [...]string{"0", "1", "2", "3", "4", "5"}
 
-// Note records a state change with its reason. q and w may be nil.
-func (g *Gateway) Note(what, why string, q *Request, w *Worker, value float64) {
-	e := flightrec.Event{At: g.Loop.Now(), What: what, Why: why, Value: value}
+// RecordEvent records a state change with its reason. q and w may be nil.
+func (g *Gateway) RecordEvent(what, why string, q *Request, w *Worker, value float64) {
+	e := flightrecorder.Event{At: g.Loop.Now(), What: what, Why: why, Value: value}
 	if q != nil {
 		e.Request = q.seq
 	}
@@ -92,10 +92,10 @@
 // SetTrace names a request as its client does, in logs and dumps.
 func (q *Request) SetTrace(id [16]byte) { q.trace = id }
 
-// Dump writes the flight recorder to the log, oldest event first, and the requests in flight.
-func (g *Gateway) Dump(why string) {
+// DumpFlightRecorder writes the flight recorder to the log, oldest event first, and the requests in flight.
+func (g *Gateway) DumpFlightRecorder(why string) {
 	g.log.Warn().Str("why", why).Uint64("events", g.Events.Count()).Int("in_hand", g.inFlight).Msg("flight recorder")
-	g.Events.Each(func(e *flightrec.Event) {
+	g.Events.Each(func(e *flightrecorder.Event) {
 		g.log.Warn().Float64("at", e.At).Str("what", e.What).Str("reason", e.Why).Uint64("request", e.Request).
 			Uint32("worker_id", e.Worker).Float64("value", e.Value).Msg("event")
 	})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -5,8 +5,8 @@
 	"strconv"
 
 	"mastchute/control"
-	"mastchute/internal/loop"
-	"mastchute/internal/permit"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/rules"
 )
 
 // answer is how a request ended for its client.
@@ -24,7 +24,7 @@
 
 // Request is one in flight: it lives until its final answer is given and no attempt is out.
 type Request struct {
-	Client Client // nil once answered, or when the client has left
+	Responder ResponseWriter // nil once answered, or when the client has left
 
 	id                 control.RequestID
 	seq                uint64
@@ -39,15 +39,15 @@
 	answered           bool
 	live               bool
 	gen                uint32
-	timer              loop.Timer // the client's time
-	trace              [16]byte   // its client's name for it, where it has one
+	timer              eventloop.Timer // the client's time
+	trace              [16]byte        // its client's name for it, where it has one
 }
 
 // Model is the model it asks for, NotAfter the end of the client's time on the loop's clock, Final whether its final
 // answer is given.
 func (q *Request) Model() *Model     { return q.model }
-func (q *Request) NotAfter() float64 { return q.notAfter }
-func (q *Request) Final() bool       { return q.answered }
+func (q *Request) Deadline() float64 { return q.notAfter }
+func (q *Request) Finished() bool    { return q.answered }
 
 // ID names it towards the decisions.
 func (q *Request) ID() control.RequestID { return q.id }
@@ -61,14 +61,14 @@
 // Serving tells whether requests are taken: not while stopping, nor after the decisions failed.
 func (g *Gateway) Serving() bool { return !g.stopping && g.module != nil }
 
-// Accept takes a request: from here on its client is owed one final answer. in says what the client told and the model's
+// AcceptRequest takes a request: from here on its client is owed one final answer. in says what the client told and the model's
 // group; tenant is -1 where none is told. cameIn is when it came in: its time counts from then.
-func (g *Gateway) Accept(c Client, m *Model, tenant int, cameIn float64, in control.Request) *Request {
+func (g *Gateway) AcceptRequest(c ResponseWriter, m *Model, tenant int, cameIn float64, in control.Request) *Request {
 	q := g.acquire()
-	q.Client, q.model, q.group, q.arrivedAt, q.tenant = c, m, g.groups[in.Group], cameIn, tenant
+	q.Responder, q.model, q.group, q.arrivedAt, q.tenant = c, m, g.groups[in.Group], cameIn, tenant
 	m.refs++
-	q.notAfter = math.Min(cameIn+q.group.Timeout.Seconds, in.NotAfter)
-	in.NotAfter = q.notAfter
+	q.notAfter = math.Min(cameIn+q.group.Timeout.Seconds, in.Deadline)
+	in.Deadline = q.notAfter
 	span := q.notAfter - g.Loop.Now()
 	in.ID, in.Model, in.Tenant = q.id, m.ID, math.MaxUint16
 	if tenant >= 0 {
@@ -76,25 +76,25 @@
 	}
 	q.group.meter.taken.Inc()
 	g.Loop.Start(&q.timer, span)
-	g.Note("taken", q.group.Name, q, nil, span)
+	g.RecordEvent("taken", q.group.Name, q, nil, span)
 	g.begin()
 	g.request(&in)
 	return q
 }
 
-// Left tells that the client has gone, or has taken the request back: nobody is to be answered.
-func (g *Gateway) Left(q *Request) {
+// ClientGone tells that the client has gone, or has taken the request back: nobody is to be answered.
+func (g *Gateway) ClientGone(q *Request) {
 	if q == nil || !q.live || q.answered {
 		return
 	}
-	q.Client = nil
+	q.Responder = nil
 	g.close(q, answerLeft)
 	if s := q.streaming; s != nil {
 		g.end(s, control.Cancelled)
 	}
 	g.begin()
 	if g.module != nil {
-		g.guard(func() { g.module.Withdrawn(q.id) })
+		g.guard(func() { g.module.RequestCancelled(q.id) })
 	}
 }
 
@@ -156,7 +156,7 @@
 		g.fail(q, true, "the time is up")
 		g.begin()
 		if g.module != nil {
-			g.guard(func() { g.module.Withdrawn(q.id) })
+			g.guard(func() { g.module.RequestCancelled(q.id) })
 		}
 	}
 	for _, f := range q.attempts[:q.attempted] {
@@ -167,19 +167,19 @@
 // answerAtStop gives the final answer at a stop: shed where trying again is harmless, as no attempt has run or may or the model
 // group is retriable, else failed.
 func (g *Gateway) answerAtStop(q *Request, why string) {
-	harmless := q.streaming == nil && (q.group.effect == permit.Retriable || !q.shedTerms().MayHaveRun)
+	harmless := q.streaming == nil && (q.group.effect == rules.Retriable || !q.shedTerms().MayHaveRun)
 	if !harmless {
 		g.fail(q, false, why)
 	} else if c := g.final(q, answerShed); c != nil {
-		c.Shed(q, 0)
+		c.WriteShed(q, 0)
 	}
 }
 
 // shedTerms is what the rules need to know of a request that is to be shed: what has not left yet never will.
-func (q *Request) shedTerms() permit.Request {
-	t := permit.Request{Answered: q.answered, Effect: q.group.effect}
+func (q *Request) shedTerms() rules.Request {
+	t := rules.Request{Answered: q.answered, Effect: q.group.effect}
 	for _, f := range q.attempts[:q.attempted] {
-		if f.done && !f.result.NeverRan() || !f.done && f.Worker.link.Whole(f) {
+		if f.done && !f.result.NeverRan() || !f.done && f.Worker.link.FullySent(f) {
 			t.MayHaveRun = true
 		}
 	}
@@ -189,7 +189,7 @@
 // fail gives the final answer that promises nothing.
 func (g *Gateway) fail(q *Request, late bool, why string) {
 	if c := g.final(q, answerFailed); c != nil {
-		c.Failed(q, late, why)
+		c.WriteFailure(q, late, why)
 		if q.streaming != nil { // it had begun: it was cut off
 			g.end(q.streaming, control.Cancelled)
 		}
@@ -197,13 +197,13 @@
 }
 
 // final books a final answer of our own, and returns the client to give it to.
-func (g *Gateway) final(q *Request, a answer) Client {
+func (g *Gateway) final(q *Request, a answer) ResponseWriter {
 	if q.answered {
 		g.Metrics.guard("second_answer")
 		return nil
 	}
-	c := q.Client
-	q.Client = nil
+	c := q.Responder
+	q.Responder = nil
 	g.close(q, a)
 	return c
 }
@@ -219,12 +219,12 @@
 	now := g.Loop.Now()
 	q.group.meter.final(a, now-q.arrivedAt)
 	g.logFinal(q, a, now)
-	g.Note("final", a.String(), q, nil, now-q.arrivedAt)
+	g.RecordEvent("final", a.String(), q, nil, now-q.arrivedAt)
 	for _, f := range q.attempts[:q.attempted] {
-		if !f.done && !f.Worker.link.Whole(f) {
+		if !f.done && !f.Worker.link.FullySent(f) {
 			g.end(f, control.Cancelled)
 		}
 	}
-	g.Loop.Later(g.tellFn) // also lets its place go
+	g.Loop.Defer(g.tellFn) // also lets its place go
 	g.ended = append(g.ended, ending{q: q})
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -16,8 +16,8 @@
 
 	"mastchute/control"
 	"mastchute/internal/config"
-	"mastchute/internal/loop"
-	"mastchute/internal/loop/looptest"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/eventloop/eventlooptest"
 )
 
 // rig is a gateway on loopback with scripted workers.
@@ -155,7 +155,7 @@
 `
 
 // newRig starts a gateway over the workers; more is added to its settings, start may replace the decisions.
-func newRig(t *testing.T, more string, start Start, workers ...*scripted) *rig {
+func newRig(t *testing.T, more string, start NewModule, workers ...*scripted) *rig {
 	t.Helper()
 	text := rigSettings + more + "workers:\n"
 	for i, w := range workers {
@@ -165,7 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	log := zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel)
-	g, err := New(l, cfg, log, start)
+	g, err := NewHTTP(l, cfg, log, start)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -200,10 +200,13 @@
 }
 
 // on runs f on the loop.
-func (r *rig) on(f func()) { r.t.Helper(); looptest.On(r.t, r.g.Loop, f) }
+func (r *rig) on(f func()) { r.t.Helper(); eventlooptest.On(r.t, r.g.Loop, f) }
 
 // until waits for something that is to come about, as seen on the loop.
-func (r *rig) until(what string, f func() bool) { r.t.Helper(); looptest.Until(r.t, r.g.Loop, what, f) }
+func (r *rig) until(what string, f func() bool) {
+	r.t.Helper()
+	eventlooptest.Until(r.t, r.g.Loop, what, f)
+}
 
 // got is an answer as the client's socket carried it.
 type got struct {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -56,16 +56,16 @@
 
 // viewer is what a module offers where it can be looked into.
 type viewer interface {
-	View(most int) ([]control.WorkerView, []control.HandView)
+	View(most int) ([]control.WorkerView, []control.RequestView)
 }
 
 // Status takes a snapshot. On the loop.
 func (g *Gateway) Status() Status {
-	s := Status{Name: g.cfg.Name, Now: g.Loop.Now(), Stopping: g.stopping, Crash: g.exit.Crash, Version: g.Members.Version,
-		Taken: g.seq, InHand: g.inFlight, Connections: g.Loop.Stats.Conns.Load(), Memory: g.front.Held(),
+	s := Status{Name: g.cfg.Name, Now: g.Loop.Now(), Stopping: g.stopping, Crash: g.exit.PanicMessage, Version: g.Members.Version,
+		Taken: g.seq, InHand: g.inFlight, Connections: g.Loop.Stats.Connections.Load(), Memory: g.front.BufferedBytes(),
 		Workers: []WorkerStatus{}, Hand: []RequestStatus{}}
 	views := map[control.WorkerID]control.WorkerView{}
-	var hand []control.HandView
+	var hand []control.RequestView
 	if v, ok := g.module.(viewer); ok && g.module != nil {
 		var list []control.WorkerView
 		g.guard(func() { list, hand = v.View(viewMost) })
@@ -79,14 +79,14 @@
 			continue
 		}
 		v := views[r.ID]
-		ws := WorkerStatus{Name: r.Name, Address: r.Addr.String(), State: r.StateName(), From: r.From.String(), Version: r.Version,
-			Heard: r.Heard, Told: w.told, Connections: w.link.Conns(), Queued: w.link.Queued(), Out: v.Out, Work: v.Work, Bad: v.Bad,
-			Aside: v.Aside, Report: v.Report, Warm: []string{}}
+		ws := WorkerStatus{Name: r.Name, Address: r.Addr.String(), State: r.StateName(), From: r.Source.String(), Version: r.Version,
+			Heard: r.ChangedAt, Told: w.told, Connections: w.link.ConnectionCount(), Queued: w.link.QueuedCount(), Out: v.InFlight, Work: v.QueuedWork, Bad: v.FailureRate,
+			Aside: v.Ejected, Report: v.ReportedInFlight, Warm: []string{}}
 		if r.Epoch > 0 {
-			age := s.Now - r.Start
+			age := s.Now - r.StartedAt
 			ws.Age = &age
 		}
-		for _, m := range v.Warm {
+		for _, m := range v.WarmModels {
 			if k := g.models.byID[m]; k != nil {
 				ws.Warm = append(ws.Warm, k.Name)
 			}
@@ -98,9 +98,9 @@
 		if q == nil {
 			continue
 		}
-		hs := RequestStatus{Request: string(g.appendID(nil, q)), Model: q.model.Name, Group: q.group.Name, Age: h.Age, Left: h.Left,
-			Attempts: q.attempted, Out: h.Out, Why: h.Why}
-		if w := g.workers[h.At]; w != nil {
+		hs := RequestStatus{Request: string(g.appendID(nil, q)), Model: q.model.Name, Group: q.group.Name, Age: h.Age, Left: h.TimeLeft,
+			Attempts: q.attempted, Out: h.InFlight, Why: h.State}
+		if w := g.workers[h.Worker]; w != nil {
 			hs.At = w.Name
 		}
 		s.Hand = append(s.Hand, hs)
@@ -131,7 +131,7 @@
 		f := q.attempts[q.attempted-1]
 		held = f.made - q.arrivedAt
 		e = e.Str("worker", f.Worker.Name)
-		if at := f.Worker.link.Handed(f); at > 0 {
+		if at := f.Worker.link.SentAt(f); at > 0 {
 			e = e.Float64("connect_s", at-f.made).Float64("worker_s", now-at)
 		}
 	}
--- a/internal/http1/body.go
+++ b/internal/httpcodec/body.go
@@ -1,4 +1,4 @@
-package http1
+package httpcodec
 
 import "bytes"
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// ResetAnswer prepares for the body of an answer to a request, HEAD or not. An answer has no size limit here.
-func (d *Body) ResetAnswer(h *Head, head bool) {
+// ResetResponse prepares for the body of an answer to a request, HEAD or not. An answer has no size limit here.
+func (d *Body) ResetResponse(h *Head, head bool) {
 	*d = Body{limit: 1 << 62}
 	switch {
 	case head || h.Status < 200 || h.Status == 204 || h.Status == 304 || h.Length == 0:
@@ -56,8 +56,8 @@
 // Done tells whether the body is complete.
 func (d *Body) Done() bool { return d.state == bodyDone }
 
-// ToEnd tells whether the body ends with its connection.
-func (d *Body) ToEnd() bool { return d.state == bodyToEnd }
+// ReadsUntilClose tells whether the body ends with its connection.
+func (d *Body) ReadsUntilClose() bool { return d.state == bodyToEnd }
 
 // Next decodes from the start of b. It returns a piece of the body (part of b, perhaps empty) and how many bytes it
 // used, framing included. Call it again with the rest until it uses nothing or Done.
--- a/internal/http1/head.go
+++ b/internal/httpcodec/head.go
@@ -1,9 +1,9 @@
-// Package http1 reads and writes HTTP/1.1 (RFC 9110, RFC 9112) on byte slices. It does no I/O, knows no clock and
+// Package httpcodec reads and writes HTTP/1.1 (RFC 9110, RFC 9112) on byte slices. It does no I/O, knows no clock and
 // keeps no copies: what it returns points into the bytes it was given, and is valid as long as they are.
 //
 // It is strict where laxness has let requests be smuggled: two framings at once, repeated or signed lengths, bare LF
 // or CR, folded lines, a space before the colon, NULs and other controls, unknown transfer codings are refused.
-package http1
+package httpcodec
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	Body    int64 // bytes of the body, decoded
 }
 
-// Usual are limits that suit a gateway.
-var Usual = Limits{Line: 8 << 10, Head: 32 << 10, Headers: 100, Body: 64 << 20}
+// DefaultLimits are limits that suit a gateway.
+var DefaultLimits = Limits{Line: 8 << 10, Head: 32 << 10, Headers: 100, Body: 64 << 20}
 
 // Error is a message that is refused: a status code for its sender, and a reason for people.
 type Error struct {
@@ -73,15 +73,15 @@
 // Get returns the value of the first header of that name, nil if there is none. name is in lower case.
 func (h *Head) Get(name string) []byte {
 	for i := range h.Headers {
-		if Is(h.Headers[i].Name, name) {
+		if EqualsLower(h.Headers[i].Name, name) {
 			return h.Headers[i].Value
 		}
 	}
 	return nil
 }
 
-// Is compares a name with one in lower case, whatever the case of the first.
-func Is(name []byte, lower string) bool {
+// EqualsLower compares a name with one in lower case, whatever the case of the first.
+func EqualsLower(name []byte, lower string) bool {
 	if len(name) != len(lower) {
 		return false
 	}
@@ -102,9 +102,9 @@
 	scanned int // bytes seen before without an end
 }
 
-// Request parses the head of a request at the start of b. n is its length; 0 without an error means that more bytes
+// ParseRequest parses the head of a request at the start of b. n is its length; 0 without an error means that more bytes
 // are needed.
-func (p *Parser) Request(b []byte, h *Head) (n int, err error) {
+func (p *Parser) ParseRequest(b []byte, h *Head) (n int, err error) {
 	if n, err = p.end(b, ErrLineLong); n == 0 || err != nil {
 		return 0, err
 	}
@@ -118,8 +118,8 @@
 	return n, nil
 }
 
-// Answer parses the head of an answer at the start of b, as Request does.
-func (p *Parser) Answer(b []byte, h *Head) (n int, err error) {
+// ParseResponse parses the head of an answer at the start of b, as Request does.
+func (p *Parser) ParseResponse(b []byte, h *Head) (n int, err error) {
 	if n, err = p.end(b, ErrHeadLong); n == 0 || err != nil {
 		return 0, err
 	}
@@ -271,14 +271,14 @@
 		switch name[0] | 0x20 {
 		case 'c':
 			switch {
-			case Is(name, "content-length"):
+			case EqualsLower(name, "content-length"):
 				if h.Length >= 0 {
 					return ErrLength
 				}
 				if h.Length = decimal(value); h.Length < 0 {
 					return ErrLength
 				}
-			case Is(name, "connection"):
+			case EqualsLower(name, "connection"):
 				if list(value, "close") {
 					h.Close = true
 				} else if h.Minor == 0 && list(value, "keep-alive") {
@@ -287,23 +287,23 @@
 			}
 		case 't':
 			switch {
-			case Is(name, "transfer-encoding"):
-				if codings++; codings > 1 || !Is(value, "chunked") {
+			case EqualsLower(name, "transfer-encoding"):
+				if codings++; codings > 1 || !EqualsLower(value, "chunked") {
 					return ErrCoding
 				}
 				h.Chunked = true
-			case Is(name, "trailer"):
+			case EqualsLower(name, "trailer"):
 				trailer = trailer || list(value, "content-length") || list(value, "transfer-encoding") || list(value, "trailer")
 			}
 		case 'h':
-			if request && Is(name, "host") {
+			if request && EqualsLower(name, "host") {
 				if hosts++; hosts > 1 || !validHost(value) {
 					return ErrHost
 				}
 			}
 		case 'e':
-			if request && Is(name, "expect") {
-				if !Is(value, "100-continue") {
+			if request && EqualsLower(name, "expect") {
+				if !EqualsLower(value, "100-continue") {
 					return ErrExpect
 				}
 				h.Expect = h.Minor == 1
@@ -332,7 +332,7 @@
 		if i < 0 {
 			i = len(b)
 		}
-		if Is(trim(b[:i]), word) {
+		if EqualsLower(trim(b[:i]), word) {
 			return true
 		}
 		b = b[min(i+1, len(b)):]
@@ -402,8 +402,8 @@
 	return true
 }
 
-// Listed tells whether a comma list, such as Connection's value, holds a name, whatever its case.
-func Listed(value, name []byte) bool {
+// ListContains tells whether a comma list, such as Connection's value, holds a name, whatever its case.
+func ListContains(value, name []byte) bool {
 	for len(value) > 0 {
 		i := bytes.IndexByte(value, ',')
 		if i < 0 {
--- a/internal/http1/http1_test.go
+++ b/internal/httpcodec/http1_test.go
@@ -1,4 +1,4 @@
-package http1
+package httpcodec
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 	b := []byte(text)
 	n := 0
 	for to := step(0, piece, len(b)); ; to = step(to, piece, len(b)) {
-		if n, err = p.Request(b[:to:to], &h); n > 0 || err != nil || to == len(b) {
+		if n, err = p.ParseRequest(b[:to:to], &h); n > 0 || err != nil || to == len(b) {
 			break
 		}
 	}
@@ -152,9 +152,9 @@
 		{"HTTP/2.0 200 OK\r\n\r\n", "", false, true},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", "", false, true},
 	} {
-		p := Parser{Limits: Usual}
+		p := Parser{Limits: DefaultLimits}
 		var h Head
-		n, err := p.Answer([]byte(c.text), &h)
+		n, err := p.ParseResponse([]byte(c.text), &h)
 		if (err != nil) != c.bad || err == nil && n == 0 {
 			t.Errorf("%q: %d %v", c.text, n, err)
 		}
@@ -162,7 +162,7 @@
 			continue
 		}
 		var d Body
-		d.ResetAnswer(&h, c.head)
+		d.ResetResponse(&h, c.head)
 		var body []byte
 		for rest := []byte(c.text)[n:]; !d.Done() && len(rest) > 0; {
 			data, used, err := d.Next(rest)
@@ -171,7 +171,7 @@
 			}
 			body, rest = append(body, data...), rest[used:]
 		}
-		if string(body) != c.body || !d.Done() && !d.ToEnd() {
+		if string(body) != c.body || !d.Done() && !d.ReadsUntilClose() {
 			t.Errorf("%q: body %q", c.text, body)
 		}
 	}
@@ -179,15 +179,15 @@
 
 func TestWarmParserAllocatesNothing(t *testing.T) {
 	b := []byte("POST /v2/models/m/infer HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nX: y\r\nTransfer: z\r\n\r\nabc")
-	p := Parser{Limits: Usual}
+	p := Parser{Limits: DefaultLimits}
 	var h Head
 	var d Body
 	if n := testing.AllocsPerRun(100, func() {
-		n, err := p.Request(b, &h)
+		n, err := p.ParseRequest(b, &h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.ResetRequest(&h, Usual)
+		d.ResetRequest(&h, DefaultLimits)
 		if data, _, _ := d.Next(b[n:]); len(data) != 3 {
 			t.Fatal("body")
 		}
@@ -275,11 +275,11 @@
 
 func BenchmarkRequest(b *testing.B) {
 	text := []byte("POST /v2/models/species-fern/infer HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nContent-Type: application/json\r\nContent-Length: 90\r\nIdempotency-Key: 123\r\n\r\n")
-	p := Parser{Limits: Usual}
+	p := Parser{Limits: DefaultLimits}
 	var h Head
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := p.Request(text, &h); err != nil {
+		if _, err := p.ParseRequest(text, &h); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/http1/write.go
+++ b/internal/httpcodec/write.go
@@ -1,4 +1,4 @@
-package http1
+package httpcodec
 
 import "strconv"
 
@@ -50,23 +50,23 @@
 // LastChunk ends a chunked body.
 const LastChunk = "0\r\n\r\n"
 
-// HopByHop tells whether a header belongs to one connection only and is not passed on (RFC 9110, 7.6.1).
-func HopByHop(name []byte) bool {
+// IsHopByHop tells whether a header belongs to one connection only and is not passed on (RFC 9110, 7.6.1).
+func IsHopByHop(name []byte) bool {
 	switch name[0] | 0x20 {
 	case 'c':
-		return Is(name, "connection") || Is(name, "content-length")
+		return EqualsLower(name, "connection") || EqualsLower(name, "content-length")
 	case 'k':
-		return Is(name, "keep-alive")
+		return EqualsLower(name, "keep-alive")
 	case 'p':
-		return Is(name, "proxy-connection") || Is(name, "proxy-authenticate") || Is(name, "proxy-authorization")
+		return EqualsLower(name, "proxy-connection") || EqualsLower(name, "proxy-authenticate") || EqualsLower(name, "proxy-authorization")
 	case 't':
-		return Is(name, "te") || Is(name, "trailer") || Is(name, "transfer-encoding")
+		return EqualsLower(name, "te") || EqualsLower(name, "trailer") || EqualsLower(name, "transfer-encoding")
 	case 'u':
-		return Is(name, "upgrade")
+		return EqualsLower(name, "upgrade")
 	case 'e':
-		return Is(name, "expect")
+		return EqualsLower(name, "expect")
 	case 'h':
-		return Is(name, "host")
+		return EqualsLower(name, "host")
 	}
 	return false
 }
--- a/internal/h1/client.go
+++ b/internal/httpconn/client.go
@@ -1,52 +1,52 @@
-package h1
+package httpconn
 
 import (
 	"errors"
 	"net/netip"
 
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
 )
 
 // The ways a call ends without an answer, beside errors of the connection.
 var (
-	ErrAbandoned = errors.New("given up before it was sent")
-	ErrCut       = errors.New("the answer was cut short")
-	ErrPeer      = errors.New("the answer is malformed")
+	ErrNotSent           = errors.New("given up before it was sent")
+	ErrTruncated         = errors.New("the answer was cut short")
+	ErrMalformedResponse = errors.New("the answer is malformed")
 )
 
 // PoolOptions bound a pool of connections to one peer; zero values mean the defaults.
 type PoolOptions struct {
-	Conns          int     // connections at a time; default 256
-	Idle           int     // idle ones kept; default 64
-	IdleTimeout    float64 // s an idle one is kept; default 15
-	ConnectTimeout float64 // s for a connection to come up; default 0.25
-	Lost           func()  // a connection that was up ended from the peer's side, unasked; may be nil
+	MaxConnections   int     // connections at a time; default 256
+	MaxIdle          int     // idle ones kept; default 64
+	IdleTimeout      float64 // s an idle one is kept; default 15
+	ConnectTimeout   float64 // s for a connection to come up; default 0.25
+	OnConnectionLost func()  // a connection that was up ended from the peer's side, unasked; may be nil
 }
 
-// Caller hears how a call goes. Its methods run on the loop.
-type Caller interface {
+// ResponseHandler hears how a call goes. Its methods run on the loop.
+type ResponseHandler interface {
 	// Head gets the head of the answer, valid for this call only.
-	Head(h *http1.Head)
+	ResponseHead(h *httpcodec.Head)
 	// Body gets a piece of the answer's body, valid for this call only.
-	Body(b []byte)
+	ResponseBody(b []byte)
 	// End tells, once, that the answer is complete, or why not. It is not called after Cancel.
-	End(err error)
+	ResponseDone(err error)
 }
 
-// Renewer is a Caller whose request says how much time is left: one that waited is written anew before it leaves.
-type Renewer interface {
+// HeadRewriter is a Caller whose request says how much time is left: one that waited is written anew before it leaves.
+type HeadRewriter interface {
 	// Renew returns the head as it is to be now, or false where the request must not be sent any more.
-	Renew() (head []byte, ok bool)
+	RewriteHead() (head []byte, ok bool)
 }
 
 // Call is one request to a peer. It is meant to be a field of the record it serves.
 type Call struct {
-	Caller Caller
-	Peek   float64 // the loop's time when the request was handed to a connection that is up; 0 before
-	HEAD   bool
+	Handler ResponseHandler
+	SentAt  float64 // the loop's time when the request was handed to a connection that is up; 0 before
+	HEAD    bool
 	// NotAfter is the loop's time after which it must not be sent any more: it ends with ErrAbandoned then; 0 for never.
-	NotAfter float64
+	SendDeadline float64
 
 	pool   *Pool
 	conn   *clientConn
@@ -57,12 +57,12 @@
 	from   uint64  // bytes of the connection before this request
 	queued bool
 	wrote  bool
-	given  bool // Abandon will end it
+	given  bool // FailUnsent will end it
 }
 
 // Pool holds the connections to one peer.
 type Pool struct {
-	Loop   *loop.Loop
+	Loop   *eventloop.Loop
 	Addr   netip.AddrPort
 	opt    PoolOptions
 	idle   []*clientConn // the one used last at the end
@@ -73,12 +73,12 @@
 }
 
 // NewPool makes a pool; it opens connections as they are needed.
-func NewPool(l *loop.Loop, addr netip.AddrPort, opt PoolOptions) *Pool {
-	if opt.Conns <= 0 {
-		opt.Conns = 256
+func NewPool(l *eventloop.Loop, addr netip.AddrPort, opt PoolOptions) *Pool {
+	if opt.MaxConnections <= 0 {
+		opt.MaxConnections = 256
 	}
-	if opt.Idle <= 0 {
-		opt.Idle = 64
+	if opt.MaxIdle <= 0 {
+		opt.MaxIdle = 64
 	}
 	if opt.IdleTimeout <= 0 {
 		opt.IdleTimeout = 15
@@ -89,15 +89,15 @@
 	return &Pool{Loop: l, Addr: addr, opt: opt, all: map[*clientConn]struct{}{}}
 }
 
-// Conns is how many connections there are, idle ones included; Queued is how many calls wait for one.
-func (p *Pool) Conns() int { return len(p.all) }
+// ConnectionCount is how many connections there are, idle ones included; QueuedCount is how many calls wait for one.
+func (p *Pool) ConnectionCount() int { return len(p.all) }
 
 // Queued is how many calls wait for a connection.
-func (p *Pool) Queued() int { return len(p.queue) - p.first }
+func (p *Pool) QueuedCount() int { return len(p.queue) - p.first }
 
 // Do sends a request: head whole with its empty line, and body. Both are to stay as they are until the call has ended.
 func (p *Pool) Do(c *Call, head, body []byte) {
-	c.pool, c.conn, c.head, c.body, c.from, c.Peek, c.queued, c.given, c.wrote = p, nil, head, body, 0, 0, false, false, false
+	c.pool, c.conn, c.head, c.body, c.from, c.SentAt, c.queued, c.given, c.wrote = p, nil, head, body, 0, 0, false, false, false
 	c.whole, c.built = body, p.Loop.Clock()
 	if n := len(p.idle); n > 0 {
 		conn := p.idle[n-1]
@@ -106,7 +106,7 @@
 		conn.carry(c)
 		return
 	}
-	if len(p.all) >= p.opt.Conns {
+	if len(p.all) >= p.opt.MaxConnections {
 		c.queued = true
 		p.queue = append(p.queue, c)
 		return
@@ -115,7 +115,7 @@
 }
 
 func (p *Pool) dial(c *Call) {
-	conn := &clientConn{pool: p, call: c, parser: http1.Parser{Limits: http1.Limits{Line: 8 << 10, Head: 64 << 10, Headers: 200}}}
+	conn := &clientConn{pool: p, call: c, parser: httpcodec.Parser{Limits: httpcodec.Limits{Line: 8 << 10, Head: 64 << 10, Headers: 200}}}
 	conn.timer.Fire = conn.expire
 	p.all[conn] = struct{}{}
 	c.conn = conn
@@ -124,7 +124,7 @@
 
 // next gives a connection's place to a call that waits.
 func (p *Pool) next(conn *clientConn) {
-	if p.Queued() > 0 {
+	if p.QueuedCount() > 0 {
 		c := p.queue[p.first]
 		p.queue[p.first] = nil
 		if p.first++; 2*p.first >= len(p.queue) {
@@ -143,7 +143,7 @@
 	if conn == nil {
 		return
 	}
-	if len(p.idle) >= p.opt.Idle || p.closed {
+	if len(p.idle) >= p.opt.MaxIdle || p.closed {
 		conn.drop()
 		return
 	}
@@ -159,12 +159,12 @@
 	p.idle = p.idle[:0]
 }
 
-// Abandon ends, with ErrAbandoned and soon, every call of which nothing was sent: those that wait for a connection,
+// FailUnsent ends, with ErrAbandoned and soon, every call of which nothing was sent: those that wait for a connection,
 // and those whose connection is not up.
-func (p *Pool) Abandon() {
+func (p *Pool) FailUnsent() {
 	calls := append([]*Call(nil), p.queue[p.first:]...)
 	for conn := range p.all {
-		if conn.call != nil && !conn.conn.Up() {
+		if conn.call != nil && !conn.conn.Established() {
 			calls = append(calls, conn.call)
 		}
 	}
@@ -177,10 +177,10 @@
 // abandon ends a call soon that has no connection.
 func (p *Pool) abandon(c *Call) {
 	c.given = true
-	p.Loop.Later(func() {
+	p.Loop.Defer(func() {
 		if c.given {
 			c.given = false
-			c.Caller.End(ErrAbandoned)
+			c.Handler.ResponseDone(ErrNotSent)
 		}
 	})
 }
@@ -212,22 +212,22 @@
 	}
 }
 
-// Wrote tells whether any byte of the request has gone to the kernel: only without one it is sure that it never ran.
+// AnyByteSent tells whether any byte of the request has gone to the kernel: only without one it is sure that it never ran.
 // It is to be asked before the call is cancelled or used again.
-func (c *Call) Wrote() bool {
-	return c.wrote || c.conn != nil && c.Peek > 0 && c.conn.conn.Sent() > c.from
+func (c *Call) AnyByteSent() bool {
+	return c.wrote || c.conn != nil && c.SentAt > 0 && c.conn.conn.SentBytes() > c.from
 }
 
-// Whole tells whether all of the request has been handed to a connection that is up: until then head and body are in
+// FullySent tells whether all of the request has been handed to a connection that is up: until then head and body are in
 // use.
-func (c *Call) Whole() bool { return c.Peek > 0 && len(c.body) == 0 }
+func (c *Call) FullySent() bool { return c.SentAt > 0 && len(c.body) == 0 }
 
-// Waiting is how many bytes of requests wait for the peer on the call's connection.
-func (c *Call) Waiting() int {
+// UnsentBytes is how many bytes of requests wait for the peer on the call's connection.
+func (c *Call) UnsentBytes() int {
 	if c.conn == nil {
 		return 0
 	}
-	return c.conn.conn.Waiting()
+	return c.conn.conn.UnsentBytes()
 }
 
 // Pause and Resume hold the answer's body back.
--- a/internal/h1/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -1,22 +1,22 @@
-package h1
+package httpconn
 
 import (
 	"io"
 
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
-	"mastchute/internal/permit"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/rules"
 )
 
 // clientConn is one connection to the peer; it carries one call at a time.
 type clientConn struct {
 	pool   *Pool
-	conn   *loop.Conn
+	conn   *eventloop.Conn
 	call   *Call
-	parser http1.Parser
-	head   http1.Head
-	body   http1.Body
-	timer  loop.Timer
+	parser httpcodec.Parser
+	head   httpcodec.Head
+	body   httpcodec.Body
+	timer  eventloop.Timer
 	headed bool
 	used   bool // it has carried a call
 }
@@ -51,25 +51,25 @@
 // renew has a call that waited written anew, and tells whether it may be sent.
 func (c *clientConn) renew(call *Call) bool {
 	now := c.pool.Loop.Clock()
-	if call.NotAfter > 0 && now > call.NotAfter {
+	if call.SendDeadline > 0 && now > call.SendDeadline {
 		return false
 	}
-	r, ok := call.Caller.(Renewer)
-	if !ok || now-call.built <= permit.DeadlineAge {
+	r, ok := call.Handler.(HeadRewriter)
+	if !ok || now-call.built <= rules.MaxDeadlineAge {
 		return true
 	}
-	head, ok := r.Renew()
+	head, ok := r.RewriteHead()
 	call.head, call.built = head, now
 	return ok
 }
 
-// BeforeWrite implements loop.Writer: a request that waited, with none of it gone, is looked at once more.
-func (c *clientConn) BeforeWrite(conn *loop.Conn) {
+// BeforeWrite implements eventloop.WriteInterceptor: a request that waited, with none of it gone, is looked at once more.
+func (c *clientConn) BeforeWrite(conn *eventloop.Conn) {
 	call := c.call
-	if call == nil || call.Peek == 0 || conn.Sent() > call.from || c.pool.Loop.Clock()-call.built <= permit.DeadlineAge {
+	if call == nil || call.SentAt == 0 || conn.SentBytes() > call.from || c.pool.Loop.Clock()-call.built <= rules.MaxDeadlineAge {
 		return
 	}
-	if conn.Retract(call.from, conn.Queued()) {
+	if conn.Unwrite(call.from, conn.WrittenBytes()) {
 		call.body = call.whole
 		c.carry(call)
 	}
@@ -77,7 +77,7 @@
 
 func (c *clientConn) send(call *Call) {
 	c.call, call.conn, c.headed, c.used = call, c, false, true
-	call.from, call.Peek = c.conn.Queued(), c.pool.Loop.Now()
+	call.from, call.SentAt = c.conn.WrittenBytes(), c.pool.Loop.Now()
 	c.conn.Write(call.head)
 	c.more()
 }
@@ -91,12 +91,12 @@
 		n := min(len(call.body), bodyPiece)
 		c.conn.Write(call.body[:n])
 		if call.body = call.body[n:]; len(call.body) > 0 {
-			c.conn.NotifyDrained()
+			c.conn.NotifyFlushed()
 		}
 	}
 }
 
-func (c *clientConn) Opened(*loop.Conn) {
+func (c *clientConn) Connected(*eventloop.Conn) {
 	if c.call != nil {
 		c.carry(c.call)
 	} else {
@@ -104,13 +104,13 @@
 	}
 }
 
-func (c *clientConn) Drained(*loop.Conn) {
+func (c *clientConn) Flushed(*eventloop.Conn) {
 	if c.call != nil {
 		c.more()
 	}
 }
 
-func (c *clientConn) Closed(_ *loop.Conn, err error) {
+func (c *clientConn) Closed(_ *eventloop.Conn, err error) {
 	c.pool.Loop.Cancel(&c.timer)
 	delete(c.pool.all, c)
 	if c.call == nil {
@@ -120,34 +120,34 @@
 				break
 			}
 		}
-		if c.pool.opt.Lost != nil && c.used {
-			c.pool.opt.Lost()
+		if c.pool.opt.OnConnectionLost != nil && c.used {
+			c.pool.opt.OnConnectionLost()
 		}
 		return
 	}
-	if err == io.EOF && c.headed && c.body.ToEnd() {
+	if err == io.EOF && c.headed && c.body.ReadsUntilClose() {
 		err = nil
 	} else if c.headed {
-		err = ErrCut
+		err = ErrTruncated
 	}
 	call := c.call
 	c.call = nil
 	c.leave(call)
 	wrote := call.wrote
-	call.Caller.End(err)
-	if err != nil && wrote && c.pool.opt.Lost != nil {
-		c.pool.opt.Lost()
+	call.Handler.ResponseDone(err)
+	if err != nil && wrote && c.pool.opt.OnConnectionLost != nil {
+		c.pool.opt.OnConnectionLost()
 	}
 	c.pool.next(nil)
 }
 
-func (c *clientConn) Data(conn *loop.Conn, b []byte) int {
+func (c *clientConn) Received(conn *eventloop.Conn, b []byte) int {
 	used := 0
 	for c.call != nil && conn.Open() {
 		if !c.headed {
-			n, err := c.parser.Answer(b[used:], &c.head)
+			n, err := c.parser.ParseResponse(b[used:], &c.head)
 			if err != nil {
-				c.fail(ErrPeer)
+				c.fail(ErrMalformedResponse)
 				return len(b)
 			}
 			if n == 0 {
@@ -158,9 +158,9 @@
 				continue
 			}
 			c.headed = true
-			c.body.ResetAnswer(&c.head, c.call.HEAD)
+			c.body.ResetResponse(&c.head, c.call.HEAD)
 			call := c.call
-			call.Caller.Head(&c.head)
+			call.Handler.ResponseHead(&c.head)
 			if c.call != call {
 				return used
 			}
@@ -169,24 +169,24 @@
 		for !c.body.Done() {
 			data, n, err := c.body.Next(b[used:])
 			if err != nil {
-				c.fail(ErrPeer)
+				c.fail(ErrMalformedResponse)
 				return len(b)
 			}
 			used += n
 			if len(data) > 0 {
-				if call.Caller.Body(data); c.call != call {
+				if call.Handler.ResponseBody(data); c.call != call {
 					return used
 				}
 			}
-			if n == 0 || c.body.ToEnd() {
+			if n == 0 || c.body.ReadsUntilClose() {
 				return used
 			}
 		}
 		// Whole. What stands behind it, or a request not wholly sent, spoils the connection for others.
-		reuse := !c.head.Close && used == len(b) && conn.Waiting() == 0 && len(call.body) == 0
+		reuse := !c.head.Close && used == len(b) && conn.UnsentBytes() == 0 && len(call.body) == 0
 		c.call = nil
 		c.leave(call)
-		call.Caller.End(nil)
+		call.Handler.ResponseDone(nil)
 		if reuse {
 			c.pool.next(c)
 		} else {
@@ -203,7 +203,7 @@
 
 // leave parts a call that ends from its connection, which may go on with others.
 func (c *clientConn) leave(call *Call) {
-	call.wrote, call.conn = call.Wrote(), nil
+	call.wrote, call.conn = call.AnyByteSent(), nil
 }
 
 func (c *clientConn) fail(err error) {
@@ -211,6 +211,6 @@
 	c.call = nil
 	c.drop()
 	c.leave(call)
-	call.Caller.End(err)
+	call.Handler.ResponseDone(err)
 	c.pool.next(nil)
 }
