--- a/internal/h1/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -1,21 +1,21 @@
-package h1
+package httpconn
 
 import (
 	"net/netip"
 
-	"mastchute/internal/http1"
+	"mastchute/internal/httpcodec"
 )
 
 // Exchange is one request and its answer. It is void once answered.
 type Exchange struct {
-	Head  http1.Head
-	Body  []byte
-	Owner any // for the service
-	Peer  netip.AddrPort
+	Head         httpcodec.Head
+	Body         []byte
+	ServiceState any // for the service
+	Peer         netip.AddrPort
 
 	c        *serverConn
 	head     []byte
-	decoder  http1.Body
+	decoder  httpcodec.Body
 	booked   int64
 	whole    bool // the request is complete
 	stream   bool // the answer has begun and goes on
@@ -25,20 +25,20 @@
 	drained  bool // the service waits for room
 }
 
-// HeardAt is when the last bytes of the request came in, on the loop's clock.
-func (x *Exchange) HeardAt() float64 { return x.c.conn.HeardAt() }
+// ReceivedAt is when the last bytes of the request came in, on the loop's clock.
+func (x *Exchange) ReceivedAt() float64 { return x.c.conn.ReceivedAt() }
 
 func (x *Exchange) book(n int64) bool {
-	if !x.c.v.opt.Budget.Take(n) {
+	if !x.c.v.opt.Budget.Reserve(n) {
 		return false
 	}
 	x.booked += n
 	return true
 }
 
-// Start begins an answer: it returns bytes to append header lines to, for Finish or Stream.
-func (x *Exchange) Start(status int) []byte {
-	b := http1.AppendStatus(x.c.v.scratch[:0], status)
+// StartResponse begins an answer: it returns bytes to append header lines to, for Finish or Stream.
+func (x *Exchange) StartResponse(status int) []byte {
+	b := httpcodec.AppendStatus(x.c.v.scratch[:0], status)
 	x.close = x.close || !x.whole && !x.decoder.Done() // a body not read would be taken for the next request
 	if x.close || x.c.v.draining {
 		x.close = true
@@ -49,9 +49,9 @@
 	return b
 }
 
-// Finish ends the head with a length, and sends the body. x is void then.
-func (x *Exchange) Finish(b []byte, body []byte) {
-	b = http1.AppendLength(b, int64(len(body)))
+// FinishResponse ends the head with a length, and sends the body. x is void then.
+func (x *Exchange) FinishResponse(b []byte, body []byte) {
+	b = httpcodec.AppendLength(b, int64(len(body)))
 	b = append(b, "\r\n"...)
 	if !x.headOnly {
 		if len(body) <= 16<<10 {
@@ -75,10 +75,10 @@
 	}
 }
 
-// Stream ends the head and lets a body of the given length follow by Write and End; -1 means that it is not known.
-func (x *Exchange) Stream(b []byte, length int64) {
+// StartStream ends the head and lets a body of the given length follow by Write and End; -1 means that it is not known.
+func (x *Exchange) StartStream(b []byte, length int64) {
 	if x.stream = true; length >= 0 {
-		b = http1.AppendLength(b, length)
+		b = httpcodec.AppendLength(b, length)
 	} else if x.Head.Minor == 1 {
 		x.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
@@ -90,18 +90,18 @@
 	x.c.v.Loop.Start(&x.c.timer, x.c.v.opt.BodyTimeout)
 }
 
-// Write sends a piece of a streamed body. It returns false when the sender should wait for Drained.
-func (x *Exchange) Write(data []byte) bool {
+// WriteStream sends a piece of a streamed body. It returns false when the sender should wait for Drained.
+func (x *Exchange) WriteStream(data []byte) bool {
 	if !x.headOnly {
 		if x.chunked {
-			b := http1.AppendChunk(x.c.v.scratch[:0], data)
+			b := httpcodec.AppendChunk(x.c.v.scratch[:0], data)
 			x.c.conn.Write(b)
 			x.keep(b)
 		} else {
 			x.c.conn.Write(data)
 		}
 	}
-	if x.c.conn.Waiting() > x.c.v.opt.StreamAhead {
+	if x.c.conn.UnsentBytes() > x.c.v.opt.StreamAhead {
 		x.drained = true
 		return false
 	}
@@ -109,16 +109,16 @@
 	return true
 }
 
-// End ends a streamed answer. x is void then.
-func (x *Exchange) End() {
+// EndStream ends a streamed answer. x is void then.
+func (x *Exchange) EndStream() {
 	if x.chunked && !x.headOnly {
-		x.c.conn.Write([]byte(http1.LastChunk))
+		x.c.conn.Write([]byte(httpcodec.LastChunk))
 	}
 	x.done()
 }
 
-// Break cuts a streamed answer off: the peer sees that it is not whole. x is void then.
-func (x *Exchange) Break() {
+// AbortStream cuts a streamed answer off: the peer sees that it is not whole. x is void then.
+func (x *Exchange) AbortStream() {
 	c := x.c
 	if c == nil { // it has ended by itself meanwhile
 		return
@@ -141,13 +141,13 @@
 	c.v.Loop.Start(&c.timer, c.v.opt.IdleTimeout)
 	c.conn.Resume()
 	if !c.inData {
-		c.conn.Again()
+		c.conn.Redeliver()
 	}
 }
 
 // Problem answers with an RFC 9457 problem, which is for refusals and errors.
 func (x *Exchange) Problem(status int, detail string) {
-	x.Finish(http1.AppendHeader(x.Start(status), "Content-Type", ProblemType), AppendProblem(nil, status, detail))
+	x.FinishResponse(httpcodec.AppendHeader(x.StartResponse(status), "Content-Type", ProblemType), AppendProblem(nil, status, detail))
 }
 
 // ProblemType is the media type of an RFC 9457 problem.
@@ -156,7 +156,7 @@
 // AppendProblem appends an RFC 9457 problem. detail is to need no escapes.
 func AppendProblem(b []byte, status int, detail string) []byte {
 	b = append(b, `{"type":"about:blank","title":"`...)
-	b = append(b, http1.Reason(status)...)
+	b = append(b, httpcodec.Reason(status)...)
 	b = append(b, `","status":`...)
 	b = append(b, byte('0'+status/100), byte('0'+status/10%10), byte('0'+status%10))
 	b = append(b, `,"detail":"`...)
@@ -167,5 +167,5 @@
 // CloseAfter lets the connection end after this answer.
 func (x *Exchange) CloseAfter() { x.close = true }
 
-// Waiting is how many bytes of the answer wait for the peer.
-func (x *Exchange) Waiting() int { return x.c.conn.Waiting() }
+// UnsentBytes is how many bytes of the answer wait for the peer.
+func (x *Exchange) UnsentBytes() int { return x.c.conn.UnsentBytes() }
--- a/internal/h1/server.go
+++ b/internal/httpconn/server.go
@@ -1,24 +1,24 @@
-// Package h1 joins the loop and the codec: HTTP/1.1 connections, the server's side and the client's. It moves
+// Package httpconn joins the loop and the codec: HTTP/1.1 connections, the server's side and the client's. It moves
 // messages and knows nothing of requests. All of it runs on the loop.
-package h1
+package httpconn
 
 import (
 	"math"
 
 	"net/netip"
 
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
 )
 
-// Budget is memory that many may draw on. The zero Budget has no limit.
-type Budget struct {
+// MemoryBudget is memory that many may draw on. The zero Budget has no limit.
+type MemoryBudget struct {
 	Limit int64 // bytes; 0 means none
 	Used  int64
 }
 
-// Take books n bytes; false when they don't fit, and nothing is booked.
-func (b *Budget) Take(n int64) bool {
+// Reserve books n bytes; false when they don't fit, and nothing is booked.
+func (b *MemoryBudget) Reserve(n int64) bool {
 	if b.Limit > 0 && b.Used+n > b.Limit {
 		return false
 	}
@@ -28,34 +28,34 @@
 
 // ServerOptions bound a server; zero values mean the defaults.
 type ServerOptions struct {
-	Limits      http1.Limits // default http1.Usual
-	IdleTimeout float64      // s an idle connection is kept; default 60
-	HeadTimeout float64      // s for a head to come in whole; default 10
-	BodyTimeout float64      // s between two pieces of a body, and between two pieces the peer reads; default 30
-	Budget      *Budget      // bodies held are booked here; may be nil
-	StreamAhead int          // bytes of a streamed answer that may wait for the peer; default 256 KiB
+	Limits      httpcodec.Limits // default httpcodec.Usual
+	IdleTimeout float64          // s an idle connection is kept; default 60
+	HeadTimeout float64          // s for a head to come in whole; default 10
+	BodyTimeout float64          // s between two pieces of a body, and between two pieces the peer reads; default 30
+	Budget      *MemoryBudget    // bodies held are booked here; may be nil
+	StreamAhead int              // bytes of a streamed answer that may wait for the peer; default 256 KiB
 }
 
 // Service is what a server serves. Its methods run on the loop.
 type Service interface {
 	// Begin hears of a request whose head has come in. It returns 0 to read the body, or it has answered already.
-	Begin(x *Exchange) (answered bool)
+	HeadReceived(x *Exchange) (answered bool)
 	// Request gets the whole request. It answers now or later, once.
-	Request(x *Exchange)
+	RequestReceived(x *Exchange)
 	// Left tells that the peer has gone before the answer was complete. x is void after this.
-	Left(x *Exchange)
+	ClientGone(x *Exchange)
 	// Drained tells that a streamed answer has room again.
-	Drained(x *Exchange)
+	StreamWritable(x *Exchange)
 	// Refused tells of a message that was refused below, for counting.
-	Refused(e *http1.Error)
+	RequestRefused(e *httpcodec.Error)
 }
 
 // Server serves HTTP/1.1 on one listener.
 type Server struct {
-	Loop     *loop.Loop
+	Loop     *eventloop.Loop
 	Service  Service
 	opt      ServerOptions
-	listener *loop.Listener
+	listener *eventloop.Listener
 	conns    map[*serverConn]struct{}
 	free     []*Exchange
 	scratch  []byte
@@ -68,9 +68,9 @@
 )
 
 // NewServer listens at an address and serves there.
-func NewServer(l *loop.Loop, at netip.AddrPort, s Service, opt ServerOptions) (*Server, error) {
-	if opt.Limits == (http1.Limits{}) {
-		opt.Limits = http1.Usual
+func NewServer(l *eventloop.Loop, at netip.AddrPort, s Service, opt ServerOptions) (*Server, error) {
+	if opt.Limits == (httpcodec.Limits{}) {
+		opt.Limits = httpcodec.DefaultLimits
 	}
 	for _, f := range []struct {
 		v       *float64
@@ -84,7 +84,7 @@
 		opt.StreamAhead = 256 << 10
 	}
 	if opt.Budget == nil {
-		opt.Budget = &Budget{}
+		opt.Budget = &MemoryBudget{}
 	}
 	v := &Server{Loop: l, Service: s, opt: opt, conns: map[*serverConn]struct{}{}}
 	var err error
@@ -95,8 +95,8 @@
 // Addr is the address listened on.
 func (v *Server) Addr() netip.AddrPort { return v.listener.Addr() }
 
-// Conns is how many connections are open.
-func (v *Server) Conns() int {
+// ConnectionCount is how many connections are open.
+func (v *Server) ConnectionCount() int {
 	if v.listener.Draining() {
 		return len(v.conns) + 1 // some may wait to be accepted
 	}
@@ -120,15 +120,15 @@
 	v.listener.Close()
 	for c := range v.conns {
 		if c.x != nil {
-			v.Service.Left(c.x)
+			v.Service.ClientGone(c.x)
 		}
 		c.conn.Abort()
 		c.over()
 	}
 }
 
-func (v *Server) accept(conn *loop.Conn) loop.Handler {
-	c := &serverConn{v: v, conn: conn, parser: http1.Parser{Limits: v.opt.Limits}}
+func (v *Server) accept(conn *eventloop.Conn) eventloop.Handler {
+	c := &serverConn{v: v, conn: conn, parser: httpcodec.Parser{Limits: v.opt.Limits}}
 	c.timer.Fire = c.expired
 	v.conns[c] = struct{}{}
 	span := v.opt.HeadTimeout
@@ -142,20 +142,20 @@
 // serverConn is one connection; it has an exchange only while a request is in flight.
 type serverConn struct {
 	v      *Server
-	conn   *loop.Conn
-	parser http1.Parser
-	timer  loop.Timer
+	conn   *eventloop.Conn
+	parser httpcodec.Parser
+	timer  eventloop.Timer
 	x      *Exchange
 	begun  bool // part of a head has come in
 	inData bool
 }
 
-func (c *serverConn) Opened(*loop.Conn) {}
+func (c *serverConn) Connected(*eventloop.Conn) {}
 
-func (c *serverConn) Closed(_ *loop.Conn, _ error) {
+func (c *serverConn) Closed(_ *eventloop.Conn, _ error) {
 	x := c.x
 	if x != nil {
-		c.v.Service.Left(x)
+		c.v.Service.ClientGone(x)
 	}
 	c.over()
 }
@@ -170,10 +170,10 @@
 	delete(c.v.conns, c)
 }
 
-func (c *serverConn) Drained(*loop.Conn) {
+func (c *serverConn) Flushed(*eventloop.Conn) {
 	if x := c.x; x != nil && x.drained {
 		x.drained = false
-		c.v.Service.Drained(x)
+		c.v.Service.StreamWritable(x)
 	}
 }
 
@@ -181,25 +181,25 @@
 func (c *serverConn) expired() {
 	switch x := c.x; {
 	case x == nil && !c.begun:
-		if c.conn.Poll(); c.x != nil || c.begun || !c.conn.Open() { // what lies unread came in time
+		if c.conn.ReadNow(); c.x != nil || c.begun || !c.conn.Open() { // what lies unread came in time
 			return
 		}
 		c.conn.CloseFlushed()
 		c.over()
 	case x == nil:
-		c.refuse(&http1.Error{Status: 408, Reason: "the head did not come in whole in time"})
+		c.refuse(&httpcodec.Error{Status: 408, Reason: "the head did not come in whole in time"})
 	case !x.whole:
-		c.refuse(&http1.Error{Status: 408, Reason: "the body stalled"})
+		c.refuse(&httpcodec.Error{Status: 408, Reason: "the body stalled"})
 	case x.stream: // the peer reads nothing
-		c.v.Service.Left(x)
+		c.v.Service.ClientGone(x)
 		c.conn.Abort()
 		c.over()
 	}
 }
 
 // refuse answers a message that is not taken, and ends the connection.
-func (c *serverConn) refuse(e *http1.Error) {
-	c.v.Service.Refused(e)
+func (c *serverConn) refuse(e *httpcodec.Error) {
+	c.v.Service.RequestRefused(e)
 	x := c.x
 	if x == nil {
 		x = c.take()
@@ -230,7 +230,7 @@
 	v.free = append(v.free, x)
 }
 
-func (c *serverConn) Data(_ *loop.Conn, b []byte) int {
+func (c *serverConn) Received(_ *eventloop.Conn, b []byte) int {
 	used := 0
 	c.inData = true
 	defer func() { c.inData = false }()
@@ -264,9 +264,9 @@
 // readHead returns how many bytes it used, and whether to go on.
 func (c *serverConn) readHead(b []byte) (int, bool) {
 	x := c.take()
-	n, err := c.parser.Request(b, &x.Head)
+	n, err := c.parser.ParseRequest(b, &x.Head)
 	if err != nil {
-		c.refuse(err.(*http1.Error))
+		c.refuse(err.(*httpcodec.Error))
 		return len(b), false
 	}
 	if n == 0 {
@@ -283,16 +283,16 @@
 	x.head = append(x.head[:0], old...)
 	rebase(&x.Head, old, x.head)
 	x.decoder.ResetRequest(&x.Head, c.v.opt.Limits)
-	x.headOnly = http1.Is(x.Head.Method, "head")
+	x.headOnly = httpcodec.EqualsLower(x.Head.Method, "head")
 	x.close = x.Head.Close || c.v.draining
-	if c.v.Service.Begin(x) {
+	if c.v.Service.HeadReceived(x) {
 		if c.x == x { // answered; the body was never read, so the connection cannot go on
 			c.fault()
 		}
 		return n, c.x == nil && c.conn.Open()
 	}
 	if x.Head.Length > 0 && !x.book(x.Head.Length) {
-		c.refuse(&http1.Error{Status: 503, Reason: "no memory left to hold the request"})
+		c.refuse(&httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"})
 		return len(b), false
 	}
 	if x.Head.Expect && !x.decoder.Done() {
@@ -305,18 +305,18 @@
 var continue100 = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 // fault guards against a service that claims an answer it has not given.
-func (c *serverConn) fault() { c.refuse(&http1.Error{Status: 500, Reason: "no answer"}) }
+func (c *serverConn) fault() { c.refuse(&httpcodec.Error{Status: 500, Reason: "no answer"}) }
 
 func (c *serverConn) readBody(b []byte) (int, bool) {
 	x, used := c.x, 0
 	for !x.decoder.Done() {
 		data, n, err := x.decoder.Next(b[used:])
 		if err != nil {
-			c.refuse(err.(*http1.Error))
+			c.refuse(err.(*httpcodec.Error))
 			return len(b), false
 		}
 		if x.Head.Chunked && !x.book(int64(len(data))) {
-			c.refuse(&http1.Error{Status: 503, Reason: "no memory left to hold the request"})
+			c.refuse(&httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"})
 			return len(b), false
 		}
 		x.Body = append(x.Body, data...)
@@ -328,12 +328,12 @@
 	}
 	x.whole = true
 	c.v.Loop.Cancel(&c.timer)
-	c.v.Service.Request(x)
+	c.v.Service.RequestReceived(x)
 	return used, true
 }
 
 // rebase lets the slices of a head point into a copy of the bytes they were parsed from.
-func rebase(h *http1.Head, old, now []byte) {
+func rebase(h *httpcodec.Head, old, now []byte) {
 	at := func(s []byte) []byte {
 		if len(s) == 0 {
 			return nil
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -19,9 +19,9 @@
 	"github.com/goccy/go-yaml"
 
 	"mastchute/internal/config"
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
 )
 
 // BenchOptions say how to measure.
@@ -237,17 +237,17 @@
 // drive asks a target for a span, from one loop. rate 0: closed loop, each connection asks anew when answered. Else
 // arrivals are Poisson at that rate, and latency counts from the intended time. Values are ns.
 func drive(to netip.AddrPort, conns int, rate float64, span time.Duration) (*hdrhistogram.Histogram, error) {
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
 	}
-	d := &driver{l: l, pool: h1.NewPool(l, to, h1.PoolOptions{Conns: conns, Idle: conns, ConnectTimeout: 2}), rate: rate,
+	d := &driver{l: l, pool: httpconn.NewPool(l, to, httpconn.PoolOptions{MaxConnections: conns, MaxIdle: conns, ConnectTimeout: 2}), rate: rate,
 		end: span.Seconds(), rnd: rand.New(rand.NewPCG(1, 2)), hist: hdrhistogram.New(1000, 60_000_000_000, 3)}
 	for i := range 16 {
 		head := fmt.Sprintf("POST /v2/models/m-%d/infer HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", i, to, len(driveBody))
 		d.heads = append(d.heads, []byte(head))
 	}
-	l.Later(func() {
+	l.Defer(func() {
 		if rate > 0 {
 			d.timer.Fire = d.arrivals
 			d.arrivals()
@@ -256,7 +256,7 @@
 				d.ask(l.Clock())
 			}
 		}
-		stop := &loop.Timer{Fire: l.Stop}
+		stop := &eventloop.Timer{Fire: l.Stop}
 		l.Start(stop, span.Seconds()+0.2)
 	})
 	if err := l.Run(); err != nil {
@@ -274,15 +274,15 @@
 var driveBody = []byte(`{"inputs":[{"name":"sheet","shape":[1],"datatype":"BYTES","data":["0123456789abcdef"]}]}`)
 
 type driver struct {
-	l     *loop.Loop
-	pool  *h1.Pool
+	l     *eventloop.Loop
+	pool  *httpconn.Pool
 	rate  float64
 	end   float64
 	next  float64
 	rnd   *rand.Rand
 	hist  *hdrhistogram.Histogram
 	heads [][]byte
-	timer loop.Timer
+	timer eventloop.Timer
 	n     int
 	bad   int
 	why   error
@@ -291,7 +291,7 @@
 
 type asked struct {
 	d    *driver
-	call h1.Call
+	call httpconn.Call
 	at   float64
 	code int
 }
@@ -302,7 +302,7 @@
 		a, d.free = d.free[n-1], d.free[:n-1]
 	} else {
 		a = &asked{d: d}
-		a.call.Caller = a
+		a.call.Handler = a
 	}
 	a.at = at
 	d.n++
@@ -324,10 +324,10 @@
 	}
 }
 
-func (a *asked) Head(h *http1.Head) { a.code = h.Status }
-func (a *asked) Body([]byte)        {}
+func (a *asked) ResponseHead(h *httpcodec.Head) { a.code = h.Status }
+func (a *asked) ResponseBody([]byte)            {}
 
-func (a *asked) End(err error) {
+func (a *asked) ResponseDone(err error) {
 	d, now := a.d, a.d.l.Clock()
 	if err != nil || a.code != 200 {
 		d.bad++
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -10,7 +10,7 @@
 	"sort"
 
 	"mastchute/internal/config"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // Day is a day file. docs/lab.md describes it.
@@ -237,7 +237,7 @@
 // KindNames lists the troubles known.
 func KindNames() []string {
 	var out []string
-	for k := range standin.Kinds {
+	for k := range emulator.Kinds {
 		out = append(out, k)
 	}
 	sort.Strings(out)
@@ -253,21 +253,21 @@
 }
 
 // Spec is the fleet of the day for the stand-ins.
-func (d *Day) Spec() standin.Spec {
+func (d *Day) Spec() emulator.Spec {
 	r, f := d.Settings.Rules, d.Fleet
 	groups := map[string]config.Group{}
 	for _, g := range d.Settings.Groups {
 		groups[g.Name] = g
 	}
-	s := standin.Spec{Seed: d.Seed, Store: standin.StoreSpec{Slots: f.StoreSlots, Limit: f.StoreLimit}}
+	s := emulator.Spec{Seed: d.Seed, Store: emulator.StoreSpec{Slots: f.StoreSlots, Limit: f.StoreLimit}}
 	for i, n := range d.workerNames() {
-		s.Workers = append(s.Workers, standin.WorkerSpec{Name: n, Zone: fmt.Sprintf("z%d", i%f.Zones+1), Cores: f.Cores, Speed: f.Speed,
+		s.Workers = append(s.Workers, emulator.WorkerSpec{Name: n, Zone: fmt.Sprintf("z%d", i%f.Zones+1), Cores: f.Cores, Speed: f.Speed,
 			MemoryMB: f.Memory.MB(), Queue: f.Queue, Loads: f.Loads, OnMiss: d.Settings.Loads.OnMiss, Keep: f.Keep.Seconds, Disk: f.Disk,
 			StopsCancelled: f.StopsCancelled, ColdShare: r.ColdShare, WarmAfter: r.WarmAfter.Seconds, Overload: r.OverloadFactor,
 			Fall: r.Fall.Seconds})
 	}
 	for _, m := range d.Models {
-		s.Models = append(s.Models, standin.ModelSpec{Name: m.Name + "-*", Group: m.Group, MemoryMB: m.Memory.MB(), Lanes: m.Lanes,
+		s.Models = append(s.Models, emulator.ModelSpec{Name: m.Name + "-*", Group: m.Group, MemoryMB: m.Memory.MB(), Lanes: m.Lanes,
 			Work: m.Work.Seconds, Fetch: m.Fetch.Seconds, Boot: m.Boot.Seconds, Deduped: groups[m.Group].Effect == "deduped",
 			Window: groups[m.Group].Window.Seconds, Scope: groups[m.Group].Scope,
 			AnswerBytes: int(m.Answer.Bytes)})
--- a/internal/lab/day_check.go
+++ b/internal/lab/day_check.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"mastchute/internal/config"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // Clock says how a day is played: over sockets in real processes, or in simulated time.
@@ -138,7 +138,7 @@
 		at := fmt.Sprintf("troubles[%d]", i)
 		k.span(at, t.At.Seconds, t.For.Seconds)
 		k.worker(at+".worker", t.Worker)
-		if _, ok := standin.Kinds[t.Kind]; !ok {
+		if _, ok := emulator.Kinds[t.Kind]; !ok {
 			k.At("$."+at+".kind", "%q is not known: write %s", t.Kind, strings.Join(KindNames(), ", "))
 		}
 		k.between(at+".share", t.Share, 0, 1)
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -6,7 +6,7 @@
 	"sort"
 
 	"mastchute/internal/config"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // Try is one try of a client, as its socket carried it. Times are seconds since 1970.
@@ -49,7 +49,7 @@
 	Zones    map[string]string // of workers
 	Cells    map[string]string
 	Tries    []Try
-	Records  []standin.Record
+	Records  []emulator.Record
 	Words    []Word
 	Downs    []Down
 }
@@ -91,13 +91,13 @@
 
 // sending is one attempt as a worker saw it.
 type sending struct {
-	standin.Record
+	emulator.Record
 	turned float64 // when it was turned away unrun; 0 if not
 }
 
 // Judge decides the five rules from what the sockets carried. It knows nothing of how dispatchers decide.
 func Judge(e *Evidence) []Finding {
-	records := append([]standin.Record(nil), e.Records...)
+	records := append([]emulator.Record(nil), e.Records...)
 	sort.SliceStable(records, func(i, j int) bool { return records[i].T < records[j].T })
 	sent := map[string][]*sending{} // by request, in order of arrival
 	for _, r := range records {
@@ -178,7 +178,7 @@
 }
 
 // effects is rule 2.
-func (e *Evidence) effects(sent map[string][]*sending, records []standin.Record, groups map[string]config.Group) Finding {
+func (e *Evidence) effects(sent map[string][]*sending, records []emulator.Record, groups map[string]config.Group) Finding {
 	f := Finding{Name: "no effect twice"}
 	sheds := map[string]Try{}
 	for _, t := range e.Tries {
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	ran := map[string][]standin.Record{}
+	ran := map[string][]emulator.Record{}
 	for _, r := range records {
 		if r.Event == "ran" && r.Key != "" && groups[r.Group].Effect == "non-retriable" {
 			if ran[r.Key] = append(ran[r.Key], r); len(ran[r.Key]) == 2 {
@@ -251,11 +251,11 @@
 }
 
 // drains is rule 3. A word was put to the test if its dispatcher had sent that worker something in the 2 s before.
-func (e *Evidence) drains(records []standin.Record) Finding {
+func (e *Evidence) drains(records []emulator.Record) Finding {
 	f := Finding{Name: "nothing new to a draining or gone worker"}
 	grace := e.Settings.Rules.DrainGrace.Seconds
 	type pair struct{ dispatcher, worker string }
-	words, sent := map[pair][]Word{}, map[pair][]standin.Record{}
+	words, sent := map[pair][]Word{}, map[pair][]emulator.Record{}
 	for _, w := range e.Words {
 		words[pair{w.Dispatcher, w.Worker}] = append(words[pair{w.Dispatcher, w.Worker}], w)
 	}
@@ -299,7 +299,7 @@
 	return f
 }
 
-func kindOf(r standin.Record) string {
+func kindOf(r emulator.Record) string {
 	if r.Event == "order" {
 		return "order to load"
 	}
--- a/internal/lab/judge_cold.go
+++ b/internal/lab/judge_cold.go
@@ -6,18 +6,18 @@
 	"sort"
 	"strings"
 
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // cold is rule 4. A fall counts if two thirds of what came within its span was sent by dispatchers that had heard
 // from that worker since its start.
-func (e *Evidence) cold(records []standin.Record) Finding {
+func (e *Evidence) cold(records []emulator.Record) Finding {
 	f := Finding{Name: "no cold worker pushed over"}
 	r4 := e.Settings.Rules
 	type startOf struct {
 		at    float64
 		heard map[string]float64 // dispatchers, since when
-		sent  []standin.Record
+		sent  []emulator.Record
 		used  bool
 	}
 	starts := map[string]*startOf{}
@@ -67,7 +67,7 @@
 }
 
 // loads is rule 5: at each order to load, the orders within the window are at most few + share x requests taken.
-func (e *Evidence) loads(records []standin.Record) Finding {
+func (e *Evidence) loads(records []emulator.Record) Finding {
 	f := Finding{Name: "orders to load rationed"}
 	l := e.Settings.Loads
 	if l.Window.Seconds <= 0 {
--- a/internal/lab/judge_test.go
+++ b/internal/lab/judge_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"mastchute/internal/config"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // evidence writes down a small day: one line an event.
@@ -27,7 +27,7 @@
 		f := append(strings.Fields(line), "", "", "", "", "", "")
 		var at float64
 		fmt.Sscan(f[1], &at)
-		inf := func(w string) (r standin.Record) {
+		inf := func(w string) (r emulator.Record) {
 			id, n, _ := strings.Cut(w, ".")
 			fmt.Sscan(n, &r.Attempt)
 			r.Request, r.T, r.Event, r.Worker, r.Group, r.Dispatcher = id, at, f[0], f[3], f[4], f[5]
@@ -49,9 +49,9 @@
 			r.Key, r.Dispatcher = f[5], "d0"
 			e.Records = append(e.Records, r)
 		case "start", "fell":
-			e.Records = append(e.Records, standin.Record{T: at, Event: f[0], Worker: f[2]})
+			e.Records = append(e.Records, emulator.Record{T: at, Event: f[0], Worker: f[2]})
 		case "order":
-			e.Records = append(e.Records, standin.Record{T: at, Event: "order", Worker: f[2], Dispatcher: f[3]})
+			e.Records = append(e.Records, emulator.Record{T: at, Event: "order", Worker: f[2], Dispatcher: f[3]})
 		case "try":
 			x := Try{Sent: at, Request: f[3], Answer: f[4], Timeout: 1, Dispatcher: "d0", Key: "k" + f[3]}
 			fmt.Sscan(f[2], &x.Answered)
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"mastchute/internal/config"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // Options say how a day is played.
@@ -107,16 +107,16 @@
 	return e, rep, errors.Join(r.errs...)
 }
 
-func readRecords(file string) ([]standin.Record, error) {
+func readRecords(file string) ([]emulator.Record, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	var out []standin.Record
+	var out []emulator.Record
 	d := json.NewDecoder(bufio.NewReaderSize(f, 1<<20))
 	for {
-		var r standin.Record
+		var r emulator.Record
 		if err := d.Decode(&r); err == io.EOF {
 			return out, nil
 		} else if err != nil {
@@ -194,7 +194,7 @@
 	}
 	for _, t := range r.day.Troubles {
 		at(t.At.Seconds, func() {
-			body, _ := json.Marshal(standin.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
+			body, _ := json.Marshal(emulator.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
 			r.say("trouble %s at %s", t.Kind, t.Worker)
 			if err := post("http://"+r.ann.Control+"/fault", body); err != nil {
 				r.fail(fmt.Errorf("trouble %s: %w", t.Kind, err))
--- a/internal/lab/simactions.go
+++ b/internal/lab/simactions.go
@@ -2,12 +2,12 @@
 
 import (
 	"mastchute/control"
+	"mastchute/internal/emulator"
 	"mastchute/internal/membership"
-	"mastchute/internal/standin"
 )
 
-func (h *simHost) Attempt(id control.RequestID, wid control.WorkerID, timeout control.Seconds) {
-	s, q, w := h.s, h.inFlight[id], h.members.Find(wid)
+func (h *simHost) SendAttempt(id control.RequestID, wid control.WorkerID, timeout control.Seconds) {
+	s, q, w := h.s, h.inFlight[id], h.members.ByID(wid)
 	if q == nil || w == nil {
 		s.guards["unknown"]++
 		return
@@ -20,7 +20,7 @@
 		h.ended(f, &told{result: control.NotSent, crowd: -1})
 		return
 	}
-	w.Sent()
+	w.MarkSent()
 	h.sentAt[f.worker] = s.now
 	if timeout > 0 {
 		life := h.life
@@ -30,11 +30,11 @@
 			}
 		})
 	}
-	f.req = standin.Req{Owner: f, Model: q.model.name, Tenant: q.tenant, Key: q.key, Until: q.notAfter}
+	f.req = emulator.Req{Owner: f, Model: q.model.name, Tenant: q.tenant, Key: q.key, Until: q.notAfter}
 	f.end = func(t *told) {
 		h.heard(f.worker, t)
 		if t.lost {
-			t.result = control.Reset
+			t.result = control.ConnectionReset
 		}
 		h.ended(f, t)
 	}
@@ -53,14 +53,14 @@
 	}
 }
 
-func (h *simHost) Cancel(id control.RequestID, n int) {
+func (h *simHost) CancelAttempt(id control.RequestID, n int) {
 	if q := h.inFlight[id]; q != nil && n < len(q.attempts) {
 		h.ended(q.attempts[n], &told{result: control.Cancelled, crowd: -1})
 	}
 }
 
-func (h *simHost) Order(wid control.WorkerID, m control.ModelID, copies int) {
-	s, w := h.s, h.members.Find(wid)
+func (h *simHost) LoadModel(wid control.WorkerID, m control.ModelID, copies int) {
+	s, w := h.s, h.members.ByID(wid)
 	name := ""
 	for _, o := range s.models {
 		if o.id == m {
@@ -72,15 +72,15 @@
 		return
 	}
 	f := &simAttempt{h: h, worker: s.worker(w.Name), made: s.now}
-	f.req = standin.Req{Owner: f, Model: name, Order: 1, Copies: copies}
+	f.req = emulator.Req{Owner: f, Model: name, Order: 1, Copies: copies}
 	life := h.life
 	tell := func(r control.Result, copies int) {
 		if f.done || h.life != life {
 			return
 		}
 		f.done = true
-		res := control.OrderResult{Worker: wid, Model: m, Result: r, Took: s.now - f.made, Copies: copies}
-		h.event(func() { h.module.Ordered(res) })
+		res := control.LoadResult{Worker: wid, Model: m, Result: r, Duration: s.now - f.made, Replicas: copies}
+		h.event(func() { h.module.LoadFinished(res) })
 	}
 	if w.State != control.Ready {
 		s.guards["order_barred"]++
@@ -90,7 +90,7 @@
 	f.end = func(t *told) {
 		h.heard(f.worker, t)
 		if t.lost {
-			t.result = control.Reset
+			t.result = control.ConnectionReset
 		}
 		tell(t.result, t.copies)
 	}
@@ -98,8 +98,8 @@
 	s.send(f)
 }
 
-func (h *simHost) Unload(wid control.WorkerID, m control.ModelID) {
-	s, w := h.s, h.members.Find(wid)
+func (h *simHost) UnloadModel(wid control.WorkerID, m control.ModelID) {
+	s, w := h.s, h.members.ByID(wid)
 	for _, o := range s.models {
 		if o.id == m && w != nil {
 			s.message(func() { s.fleet.Unload(s.now, s.worker(w.Name), o.name) })
@@ -107,45 +107,45 @@
 	}
 }
 
-func (h *simHost) Probe(wid control.WorkerID) {
-	s, w := h.s, h.members.Find(wid)
+func (h *simHost) ProbeWorker(wid control.WorkerID) {
+	s, w := h.s, h.members.ByID(wid)
 	if w == nil {
 		return
 	}
 	made := s.now
 	h.ask(s.worker(w.Name), func(t *told) {
 		h.event(func() {
-			h.module.Probed(control.ProbeResult{Worker: wid, Result: t.result, Took: s.now - made, Report: t.report})
+			h.module.ProbeFinished(control.ProbeResult{Worker: wid, Result: t.result, Duration: s.now - made, LoadReport: t.report})
 		})
 	})
 }
 
-func (h *simHost) CloseIdle(control.WorkerID) {}
+func (h *simHost) CloseIdleConnections(control.WorkerID) {}
 
-func (h *simHost) Tell(control.PeerID, []byte) { h.s.guards["note_dropped"]++ }
+func (h *simHost) SendPeerMessage(control.PeerID, []byte) { h.s.guards["note_dropped"]++ }
 
-func (h *simHost) Subscribe(on bool) {
+func (h *simHost) SubscribeWorkerList(on bool) {
 	was := h.told
 	if h.told = on; on && !was {
-		h.FetchList()
+		h.FetchWorkerList()
 	}
 }
 
-func (h *simHost) FetchList() {
+func (h *simHost) FetchWorkerList() {
 	life := h.life
 	h.s.after(0, func() {
 		if h.life == life {
-			h.event(func() { h.list(control.ListComplete) })
+			h.event(func() { h.list(control.ListSnapshot) })
 		}
 	})
 }
 
-func (h *simHost) Wake(after control.Seconds, id control.TimerID) {
+func (h *simHost) SetTimer(after control.Seconds, id control.TimerID) {
 	h.wakes[id]++
 	n, life := h.wakes[id], h.life
 	h.s.after(after, func() {
 		if h.life == life && h.wakes[id] == n {
-			h.event(func() { h.module.Timer(id) })
+			h.event(func() { h.module.TimerFired(id) })
 		}
 	})
 }
@@ -157,8 +157,8 @@
 	if t.start <= 0 || h.module == nil {
 		return
 	}
-	w := h.members.Named(h.s.spec.Workers[i].Name)
-	if h.members.Started(w, t.start, t.start-simEpoch-h.origin, h.s.now-h.origin) {
+	w := h.members.ByName(h.s.spec.Workers[i].Name)
+	if h.members.ObserveStart(w, t.start, t.start-simEpoch-h.origin, h.s.now-h.origin) {
 		h.changes([]*membership.Worker{w})
 	}
 }
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -8,8 +8,8 @@
 
 	"mastchute/control"
 	"mastchute/internal/config"
+	"mastchute/internal/emulator"
 	"mastchute/internal/membership"
-	"mastchute/internal/standin"
 )
 
 // Start makes the decisions of a dispatcher.
@@ -94,7 +94,7 @@
 	index    int
 	worker   int
 	made     float64
-	req      standin.Req
+	req      emulator.Req
 	answered bool // by the worker, or its connection is lost
 	done     bool
 	end      func(*told)
@@ -119,15 +119,15 @@
 		list = append(list, membership.Entry{Name: w.Name, Zone: w.Zone, Cell: w.Cell, Weight: 1, State: control.Ready})
 	}
 	h.event(func() {
-		h.members.Replace(membership.Config, list, 0)
+		h.members.Replace(membership.SourceConfig, list, 0)
 		for i, w := range s.spec.Workers {
 			if s.fleet.Up(i) {
-				h.members.Started(h.members.Named(w.Name), simEpoch+s.fleet.Start(i), s.fleet.Start(i)-h.origin, 0)
+				h.members.ObserveStart(h.members.ByName(w.Name), simEpoch+s.fleet.Start(i), s.fleet.Start(i)-h.origin, 0)
 			}
 		}
 		if cfg.Roster.Discovery == "push" {
 			h.told = true
-			h.list(control.ListComplete)
+			h.list(control.ListSnapshot)
 		} else {
 			h.list(control.ListCached)
 		}
@@ -160,7 +160,7 @@
 	if h.module == nil {
 		return
 	}
-	h.module.At(h.s.now - h.origin)
+	h.module.SetNow(h.s.now - h.origin)
 	f()
 	if !h.settling {
 		h.settling = true
@@ -168,27 +168,27 @@
 		h.s.after(0, func() {
 			if h.module != nil && h.life == life {
 				h.settling = false
-				h.module.Settle()
+				h.module.Reconcile()
 			}
 		})
 	}
 }
 
-func (h *simHost) list(kind control.ListKind) {
+func (h *simHost) list(kind control.WorkerListKind) {
 	var lines []control.WorkerInfo
 	for _, w := range h.members.All() {
-		lines = append(lines, w.Line())
+		lines = append(lines, w.Advertised())
 	}
-	h.module.Workers(kind, h.members.Version, lines)
+	h.module.UpdateWorkers(kind, h.members.Version, lines)
 }
 
 func (h *simHost) changes(list []*membership.Worker) {
 	var lines []control.WorkerInfo
 	for _, w := range list {
-		lines = append(lines, w.Line())
+		lines = append(lines, w.Advertised())
 	}
 	if len(lines) > 0 && h.told {
-		h.event(func() { h.module.Workers(control.ListChanges, h.members.Version, lines) })
+		h.event(func() { h.module.UpdateWorkers(control.ListDelta, h.members.Version, lines) })
 	}
 }
 
@@ -200,13 +200,13 @@
 	var all []*membership.Worker
 	for _, w := range list {
 		st := map[string]control.WorkerState{"ready": control.Ready, "draining": control.Draining, "gone": control.Gone}[w.state]
-		changed, _ := h.members.Rule(membership.Entry{Name: w.worker, State: st}, h.s.now-h.origin)
+		changed, _ := h.members.SetAdminState(membership.Entry{Name: w.worker, State: st}, h.s.now-h.origin)
 		h.s.e.Words = append(h.s.e.Words, Word{h.name, w.worker, w.state, simEpoch + h.s.now})
 		all = append(all, changed...)
 	}
 	h.changes(all)
 	for _, w := range all {
-		if w.Held() {
+		if w.AwaitingStartupProbe() {
 			h.greet(w)
 		}
 	}
@@ -234,9 +234,9 @@
 	if w.State != control.Ready {
 		return
 	}
-	w.Ask()
+	w.BeginProbe()
 	h.ask(h.s.worker(w.Name), func(t *told) {
-		if again := w.Answered(t.result == control.Returned, h.s.rnd.Float64()); again > 0 {
+		if again := w.ProbeFinished(t.result == control.Succeeded, h.s.rnd.Float64()); again > 0 {
 			life := h.life
 			h.s.after(again, func() {
 				if h.life == life {
@@ -244,7 +244,7 @@
 				}
 			})
 		}
-		if h.members.Greeted(w) {
+		if h.members.FinishStartupProbe(w) {
 			h.changes([]*membership.Worker{w})
 		}
 	})
@@ -252,7 +252,7 @@
 
 // lost: the connections to a worker ended.
 func (h *simHost) lost(i int) {
-	if w := h.members.Named(h.s.spec.Workers[i].Name); h.module != nil && w.Lost() {
+	if w := h.members.ByName(h.s.spec.Workers[i].Name); h.module != nil && w.ConnectionLost() {
 		h.greet(w)
 	}
 }
@@ -273,13 +273,13 @@
 	h.order = append(h.order, q)
 	h.open++
 	in := control.Request{ID: q.id, Model: m.id, Group: m.index, Tenant: math.MaxUint16, MemoryMB: m.info.Memory.MB(),
-		Lanes: m.info.Lanes, Load: m.info.Load.Seconds, NotAfter: s.now + y.Timeout - h.origin, Repeat: y.Number > 0}
+		Concurrency: m.info.Lanes, LoadTimeHint: m.info.Load.Seconds, Deadline: s.now + y.Timeout - h.origin, ClientRetry: y.Number > 0}
 	if i := slices.IndexFunc(s.day.Settings.Tenants, func(t config.Tenant) bool { return t.Name == k.tenant }); i >= 0 {
 		in.Tenant = control.TenantID(i)
 	}
 	life := h.life
 	s.at(q.notAfter, func() { h.timeUp(q, life) })
-	h.event(func() { h.module.Request(in) })
+	h.event(func() { h.module.RequestArrived(in) })
 	return q
 }
 
@@ -290,7 +290,7 @@
 	if !q.answered {
 		h.s.guards["late"]++
 		h.finish(q, reply{status: 504, answer: "failed"})
-		h.event(func() { h.module.Withdrawn(q.id) })
+		h.event(func() { h.module.RequestCancelled(q.id) })
 	}
 	for _, f := range q.attempts {
 		h.ended(f, &told{result: control.TimedOut})
@@ -303,7 +303,7 @@
 		return
 	}
 	h.close(q)
-	h.event(func() { h.module.Withdrawn(q.id) })
+	h.event(func() { h.module.RequestCancelled(q.id) })
 }
 
 // finish gives the final answer.
@@ -345,17 +345,17 @@
 	if t.result == control.TimedOut || t.result == control.Cancelled {
 		s.called(f)
 	}
-	if t.result == control.Returned && !q.answered {
+	if t.result == control.Succeeded && !q.answered {
 		h.finish(q, reply{status: 200, answer: "returned"})
 	}
-	o := control.Outcome{ID: q.id, Attempt: f.index, Worker: config.WorkerID(s.spec.Workers[f.worker].Name), Took: s.now - f.made,
-		Result: t.result, Found: t.found, Crowd: t.crowd, Report: t.report}
+	o := control.AttemptResult{ID: q.id, Attempt: f.index, Worker: config.WorkerID(s.spec.Workers[f.worker].Name), Duration: s.now - f.made,
+		Result: t.result, ModelState: t.found, SameModelInFlight: t.crowd, LoadReport: t.report}
 	life := h.life
 	s.after(0, func() {
 		if h.life == life && h.module != nil {
 			q.pending--
-			o.Final = q.answered
-			h.event(func() { h.module.Outcome(o) })
+			o.RequestAnswered = q.answered
+			h.event(func() { h.module.AttemptFinished(o) })
 			h.letGo(q)
 		}
 	})
--- a/internal/lab/simulated.go
+++ b/internal/lab/simulated.go
@@ -10,7 +10,7 @@
 	"sort"
 
 	"mastchute/control"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // A day in simulated time: one goroutine, one queue of events, chance from the day's seed alone, so that the same
@@ -52,8 +52,8 @@
 	queue  events
 	seq    uint64
 	rnd    *rand.Rand
-	fleet  *standin.Fleet
-	spec   standin.Spec
+	fleet  *emulator.Fleet
+	spec   emulator.Spec
 	hosts  []*simHost
 	open   int // calls that are not over
 	coming bool
@@ -93,7 +93,7 @@
 		}
 	}
 	spec := day.Spec()
-	s := &sim{day: day, rnd: rand.New(rand.NewPCG(day.Seed, 4)), spec: spec, fleet: standin.NewFleet(spec, day.Fleet.Cold),
+	s := &sim{day: day, rnd: rand.New(rand.NewPCG(day.Seed, 4)), spec: spec, fleet: emulator.NewFleet(spec, day.Fleet.Cold),
 		guards: map[string]float64{}, says: map[string]string{}, sends: make([][]*simAttempt, len(spec.Workers)), coming: true,
 		models: map[string]*simModel{},
 		e:      &Evidence{Settings: &day.Settings, Zones: map[string]string{}, Cells: map[string]string{}}}
@@ -147,8 +147,8 @@
 	return s.e, rep
 }
 
-func (s *sim) log(now float64, w, event string, r *standin.Req) {
-	rec := standin.Record{T: simEpoch + now, Worker: w, Event: event}
+func (s *sim) log(now float64, w, event string, r *emulator.Req) {
+	rec := emulator.Record{T: simEpoch + now, Worker: w, Event: event}
 	if r != nil {
 		rec.Of(r)
 		if f, ok := r.Owner.(*simAttempt); ok && f.h != nil {
@@ -262,7 +262,7 @@
 func (s *sim) schedule() {
 	for _, t := range s.day.Troubles {
 		s.at(t.At.Seconds, func() {
-			s.fleet.Set(s.now, standin.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
+			s.fleet.Set(s.now, emulator.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
 		})
 	}
 	for _, k := range s.day.Kills {
--- a/internal/lab/simworkers.go
+++ b/internal/lab/simworkers.go
@@ -5,13 +5,13 @@
 	"slices"
 
 	"mastchute/control"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
 )
 
 // told is what a worker's answer says.
 type told struct {
 	result control.Result
-	found  control.Found
+	found  control.ModelState
 	crowd  int
 	report []float64
 	start  float64
@@ -44,7 +44,7 @@
 		}
 		s.sends[f.worker] = append(s.sends[f.worker], f)
 		s.fleet.Arrive(s.now, f.worker, &f.req)
-		if f.req.Verdict != standin.Open {
+		if f.req.Verdict != emulator.Open {
 			s.answer(f)
 		}
 	}
@@ -79,7 +79,7 @@
 
 // tells is what every answer of a worker tells.
 func (s *sim) tells(i int) *told {
-	t := &told{result: control.Returned, crowd: -1, start: simEpoch + s.fleet.Start(i)}
+	t := &told{result: control.Succeeded, crowd: -1, start: simEpoch + s.fleet.Start(i)}
 	in, queue := s.fleet.Report(i)
 	for _, f := range s.day.Settings.Report {
 		switch f {
@@ -98,25 +98,25 @@
 // answer sends a worker's answer on its way.
 func (s *sim) answer(f *simAttempt) {
 	r := &f.req
-	if f.answered || r.Verdict == standin.Silent || r.Verdict == standin.Dead {
+	if f.answered || r.Verdict == emulator.Silent || r.Verdict == emulator.Dead {
 		return
 	}
 	s.drop(f)
 	t := s.tells(f.worker)
 	t.copies = r.Copies
 	switch r.Verdict {
-	case standin.Served:
+	case emulator.Served:
 		t.crowd = r.Crowd
-		t.found = map[string]control.Found{"warm": control.FoundWarm, "began": control.BeganLoad, "awaited": control.AwaitedLoad}[r.Found]
+		t.found = map[string]control.ModelState{"warm": control.ModelWarm, "began": control.LoadStarted, "awaited": control.LoadAwaited}[r.Found]
 		t.lost = r.Reset || r.Cut
-	case standin.TurnFull:
-		if t.result = control.Full; r.Found == "failed" {
+	case emulator.TurnFull:
+		if t.result = control.AtCapacity; r.Found == "failed" {
 			t.found = control.LoadFailed
 		}
-	case standin.TurnMiss:
-		t.result = control.Missed
-	case standin.Broke:
-		t.result = control.Errored
+	case emulator.TurnMiss:
+		t.result = control.ModelNotLoaded
+	case emulator.Broke:
+		t.result = control.WorkerError
 	}
 	s.message(func() { f.end(t) })
 }
--- a/internal/lab/wrong_test.go
+++ b/internal/lab/wrong_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"mastchute/internal/loop"
-	"mastchute/internal/standin"
+	"mastchute/internal/emulator"
+	"mastchute/internal/eventloop"
 )
 
 const wrongDay = `name: wrong
@@ -150,13 +150,13 @@
 				t.Fatal(err)
 			}
 			var records bytes.Buffer
-			l, err := loop.New(0)
+			l, err := eventloop.New(0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			free := netip.MustParseAddrPort("127.0.0.1:0")
 			cold := c.wrong == "pushes a cold worker"
-			s, err := standin.NewServer(l, day.Spec(), []netip.AddrPort{free, free, free}, free, &records, cold)
+			s, err := emulator.NewServer(l, day.Spec(), []netip.AddrPort{free, free, free}, free, &records, cold)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -189,7 +189,7 @@
 				e.Tries = append(e.Tries, *x)
 			}
 			for d := json.NewDecoder(&records); ; {
-				var r standin.Record
+				var r emulator.Record
 				if d.Decode(&r) != nil {
 					break
 				}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -16,8 +16,8 @@
 	retryMost  = 0.25 // s, the most of it
 )
 
-// Passing tells whether a failure of a system call speaks of the machine as it is now: the same call may do later.
-func Passing(err error) bool {
+// IsTransient tells whether a failure of a system call speaks of the machine as it is now: the same call may do later.
+func IsTransient(err error) bool {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EADDRNOTAVAIL,
 		syscall.ENETDOWN, syscall.EINTR, syscall.EAGAIN, syscall.EIO} {
 		if errors.Is(err, e) {
@@ -80,15 +80,15 @@
 func (s *Signals) Await(r *Retry, most float64, reload <-chan os.Signal) Event {
 	wait, more := r.Next(time.Now())
 	if !more {
-		return GiveUp
+		return RetriesExhausted
 	}
 	select {
 	case <-s.Stop:
-		return Stopped
+		return StopRequested
 	case <-reload:
-		return Reloaded
+		return ReloadRequested
 	case <-time.After(min(wait, seconds(most))):
-		return Try
+		return RetryDue
 	}
 }
 
@@ -97,31 +97,31 @@
 
 // The events.
 const (
-	Try Event = iota
-	GiveUp
-	Stopped
-	Reloaded
+	RetryDue Event = iota
+	RetriesExhausted
+	StopRequested
+	ReloadRequested
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Stop is the plan of a stop, by the times of the platform in seconds from the signal.
-type Stop struct {
-	Serve float64 // all goes on until then: clients still come
-	End   float64 // everything is answered by then
+// StopPlan is the plan of a stop, by the times of the platform in seconds from the signal.
+type StopPlan struct {
+	ServeUntil float64 // all goes on until then: clients still come
+	AnswerBy   float64 // everything is answered by then
 }
 
 // StopTimes say how a platform stops a process.
 type StopTimes struct {
-	ClientsCome float64 // s in which clients still come
-	ServeMost   float64 // s in which all goes on at most
-	Longest     float64 // s that a longer deadline counts as
-	Kill        float64 // s beyond the longest deadline until the kill
-	Slack       float64 // s kept before the kill, for the last answers to go out
+	ClientArrivalSpan float64 // s in which clients still come
+	MaxServeSpan      float64 // s in which all goes on at most
+	MaxDeadline       float64 // s that a longer deadline counts as
+	KillDelay         float64 // s beyond the longest deadline until the kill
+	KillMargin        float64 // s kept before the kill, for the last answers to go out
 }
 
 // PlanStop plans a stop for a longest deadline. With short deadlines the kill comes soon, and less is served.
-func PlanStop(t StopTimes, deadline float64) Stop {
-	end := math.Min(deadline, t.Longest) + t.Kill - t.Slack
-	return Stop{Serve: math.Min(t.ServeMost, math.Max(t.ClientsCome, end)), End: end}
+func PlanStop(t StopTimes, deadline float64) StopPlan {
+	end := math.Min(deadline, t.MaxDeadline) + t.KillDelay - t.KillMargin
+	return StopPlan{ServeUntil: math.Min(t.MaxServeSpan, math.Max(t.ClientArrivalSpan, end)), AnswerBy: end}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -10,7 +10,7 @@
 
 func TestPassing(t *testing.T) {
 	for err, want := range map[error]bool{fmt.Errorf("listen: %w", syscall.ENOBUFS): true, syscall.EACCES: false, errors.New("x"): false, nil: false} {
-		if Passing(err) != want {
+		if IsTransient(err) != want {
 			t.Errorf("%v: %v", err, !want)
 		}
 	}
@@ -37,14 +37,14 @@
 
 // Whatever the deadline, clients are served while they come, and the end is before the kill where that is possible.
 func TestPlanStop(t *testing.T) {
-	times := StopTimes{ClientsCome: 0.6, ServeMost: 0.75, Longest: 3, Kill: 0.7, Slack: 0.15}
+	times := StopTimes{ClientArrivalSpan: 0.6, MaxServeSpan: 0.75, MaxDeadline: 3, KillDelay: 0.7, KillMargin: 0.15}
 	for _, c := range []struct{ deadline, serve, end float64 }{{2, 0.75, 2.55}, {60, 0.75, 3.55}, {0.08, 0.63, 0.63}, {0.01, 0.6, 0.56}} {
 		p := PlanStop(times, c.deadline)
-		if d := p.Serve - c.serve; d > 1e-9 || d < -1e-9 {
-			t.Errorf("deadline %g: serves %g s, want %g", c.deadline, p.Serve, c.serve)
+		if d := p.ServeUntil - c.serve; d > 1e-9 || d < -1e-9 {
+			t.Errorf("deadline %g: serves %g s, want %g", c.deadline, p.ServeUntil, c.serve)
 		}
-		if d := p.End - c.end; d > 1e-9 || d < -1e-9 {
-			t.Errorf("deadline %g: ends at %g s, want %g", c.deadline, p.End, c.end)
+		if d := p.AnswerBy - c.end; d > 1e-9 || d < -1e-9 {
+			t.Errorf("deadline %g: ends at %g s, want %g", c.deadline, p.AnswerBy, c.end)
 		}
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,10 +17,10 @@
 type Source uint8
 
 const (
-	Config Source = iota
-	File
-	Admin
-	Log // the platform's change log
+	SourceConfig Source = iota
+	SourceFile
+	SourceAdmin
+	SourceChangeLog // the platform's change log
 	sources
 )
 
@@ -28,32 +28,32 @@
 
 // Entry is a worker as a source names it.
 type Entry struct {
-	Name   string
-	Addr   netip.AddrPort
-	Zone   string
-	Cell   string
-	Kind   string
-	Weight float64
-	State  control.WorkerState
-	Told   bool    // the source tells starts: Epoch, Start and NotBefore hold, and the worker is not asked
-	Epoch  float64 // of its latest start, seconds since 1970; 0 for long ago
-	Start  float64 // the same on the dispatcher's clock, -Inf for long ago
+	Name          string
+	Addr          netip.AddrPort
+	Zone          string
+	Cell          string
+	Kind          string
+	Weight        float64
+	State         control.WorkerState
+	StartProvided bool    // the source tells starts: Epoch, Start and NotBefore hold, and the worker is not asked
+	Epoch         float64 // of its latest start, seconds since 1970; 0 for long ago
+	StartedAt     float64 // the same on the dispatcher's clock, -Inf for long ago
 	// NotBefore is a time on the dispatcher's clock before which the source would have told this start already.
-	NotBefore float64
+	StartNotBefore float64
 }
 
 // Worker is a worker as all sources together have it.
 type Worker struct {
 	Entry
-	ID      control.WorkerID
-	Start   float64 // s on the dispatcher's clock of its latest start heard of, -Inf for not told
-	Epoch   float64 // the same as the worker or a list tells it, seconds since 1970; 0 for not told
-	Version uint32  // of the list when it last changed
-	Heard   float64 // s on the dispatcher's clock when that was
-	From    Source  // the source whose word holds
-	Listed  bool    // some source names it still
-
-	Greeting
+	ID        control.WorkerID
+	StartedAt float64 // s on the dispatcher's clock of its latest start heard of, -Inf for not told
+	Epoch     float64 // the same as the worker or a list tells it, seconds since 1970; 0 for not told
+	Version   uint32  // of the list when it last changed
+	ChangedAt float64 // s on the dispatcher's clock when that was
+	Source    Source  // the source whose word holds
+	Listed    bool    // some source names it still
+
+	StartupProbe
 	starts  starts
 	held    bool // ready again by the list, but not greeted since
 	said    [sources]Entry
@@ -95,11 +95,11 @@
 // All lists the workers, by name, those gone included.
 func (r *List) All() []*Worker { return r.order }
 
-// Find returns a worker by id, nil if there is none.
-func (r *List) Find(id control.WorkerID) *Worker { return r.byID[id] }
+// ByID returns a worker by id, nil if there is none.
+func (r *List) ByID(id control.WorkerID) *Worker { return r.byID[id] }
 
-// Named returns a worker by name, nil if there is none.
-func (r *List) Named(name string) *Worker {
+// ByName returns a worker by name, nil if there is none.
+func (r *List) ByName(name string) *Worker {
 	if w := r.byID[r.id(name)]; w != nil && w.Name == name {
 		return w
 	}
@@ -131,8 +131,8 @@
 	return r.settle(now), nil
 }
 
-// Change sets what a source says of some workers; it goes on naming the others.
-func (r *List) Change(s Source, list []Entry, now float64) ([]*Worker, error) {
+// Update sets what a source says of some workers; it goes on naming the others.
+func (r *List) Update(s Source, list []Entry, now float64) ([]*Worker, error) {
 	for _, e := range list {
 		if w := r.byID[r.id(e.Name)]; w != nil && w.Name != e.Name {
 			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", w.Name, e.Name)
@@ -144,10 +144,10 @@
 	return r.settle(now), nil
 }
 
-// Forget drops the workers that have been gone since a time and that may be dropped.
-func (r *List) Forget(since float64, may func(*Worker) bool) {
+// EvictGone drops the workers that have been gone since a time and that may be dropped.
+func (r *List) EvictGone(since float64, may func(*Worker) bool) {
 	r.order = slices.DeleteFunc(r.order, func(w *Worker) bool {
-		if w.State != control.Gone || w.Heard >= since || w.ruled || !may(w) {
+		if w.State != control.Gone || w.ChangedAt >= since || w.ruled || !may(w) {
 			return false
 		}
 		delete(r.byID, w.ID)
@@ -158,7 +158,7 @@
 func (r *List) put(s Source, e Entry) {
 	w := r.byID[r.id(e.Name)]
 	if w == nil {
-		w = &Worker{Entry: e, ID: r.id(e.Name), Start: math.Inf(-1)}
+		w = &Worker{Entry: e, ID: r.id(e.Name), StartedAt: math.Inf(-1)}
 		r.byID[w.ID] = w
 		i, _ := slices.BinarySearchFunc(r.order, w, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
 		r.order = slices.Insert(r.order, i, w)
@@ -166,9 +166,9 @@
 	w.said[s], w.named[s] = e, true
 }
 
-// Rule sets what the admin interface says of a worker's state; a worker it does not know yet needs an address.
-func (r *List) Rule(e Entry, now float64) ([]*Worker, error) {
-	w := r.Named(e.Name)
+// SetAdminState sets what the admin interface says of a worker's state; a worker it does not know yet needs an address.
+func (r *List) SetAdminState(e Entry, now float64) ([]*Worker, error) {
+	w := r.ByName(e.Name)
 	if w == nil || !w.Listed {
 		if !e.Addr.IsValid() {
 			return nil, fmt.Errorf("worker %q is not listed: give its address", e.Name)
@@ -178,27 +178,27 @@
 		}
 	}
 	if e.Addr.IsValid() {
-		if w != nil && w.Addr.IsValid() && w.Listed && w.Addr != e.Addr && !w.named[Admin] {
+		if w != nil && w.Addr.IsValid() && w.Listed && w.Addr != e.Addr && !w.named[SourceAdmin] {
 			return nil, fmt.Errorf("worker %q is listed at %s: its address is changed where it is listed", e.Name, w.Addr)
 		}
 		state := e.State
 		e.State = control.Ready
-		r.put(Admin, e)
+		r.put(SourceAdmin, e)
 		e.State = state
-		w = r.Named(e.Name)
+		w = r.ByName(e.Name)
 	}
 	w.ruled, w.ruling = e.State != control.Ready, e.State
 	return r.settle(now), nil
 }
 
-// Started notes the start that a worker tells of itself (seconds since 1970, and the same on the dispatcher's clock).
+// ObserveStart notes the start that a worker tells of itself (seconds since 1970, and the same on the dispatcher's clock).
 // It returns true where that is news: an empty, cold worker under the old name.
-func (r *List) Started(w *Worker, epoch, start, now float64) bool {
+func (r *List) ObserveStart(w *Worker, epoch, start, now float64) bool {
 	if !w.hear(epoch, start, math.Inf(-1), now) {
 		return false // an answer that was under way, or nothing new
 	}
 	r.Version++
-	w.Version, w.Heard = r.Version, now
+	w.Version, w.ChangedAt = r.Version, now
 	w.current = r.info(w)
 	return true
 }
@@ -212,28 +212,28 @@
 		w.Listed = false
 		state := control.Ready
 		addr := w.Addr
-		for s := Config; s < sources; s++ {
+		for s := SourceConfig; s < sources; s++ {
 			if !w.named[s] {
 				continue
 			}
 			if e := w.said[s]; !w.Listed {
-				w.Listed, w.From = true, s
+				w.Listed, w.Source = true, s
 				w.Entry = e
 				state = e.State
 			} else if strict(e.State) > strict(state) {
-				state, w.From = e.State, s
+				state, w.Source = e.State, s
 			}
 		}
 		if !w.Listed {
 			state = control.Gone
 		} else if w.ruled && strict(w.ruling) > strict(state) {
-			state, w.From = w.ruling, Admin
+			state, w.Source = w.ruling, SourceAdmin
 		}
 		w.State = state
-		if w.Told { // the latest start heard of holds: an event told late must not make it warm
-			w.hear(w.Entry.Epoch, w.Entry.Start, w.Entry.NotBefore, now)
+		if w.StartProvided { // the latest start heard of holds: an event told late must not make it warm
+			w.hear(w.Entry.Epoch, w.Entry.StartedAt, w.Entry.StartNotBefore, now)
 		}
-		w.held = !w.Told && state == control.Ready && (w.held || known && was.State != control.Ready)
+		w.held = !w.StartProvided && state == control.Ready && (w.held || known && was.State != control.Ready)
 		if w.current = r.info(w); w.current != was || w.Listed != listed || addr != w.Addr {
 			changed = append(changed, w)
 		}
@@ -242,7 +242,7 @@
 		r.Version++
 	}
 	for _, w := range changed {
-		w.Version, w.Heard = r.Version, now
+		w.Version, w.ChangedAt = r.Version, now
 	}
 	return changed
 }
@@ -259,12 +259,12 @@
 
 func (r *List) info(w *Worker) control.WorkerInfo {
 	return control.WorkerInfo{ID: w.ID, Zone: control.ZoneID(r.zones.of(w.Zone)), Kind: control.KindID(r.kinds.of(w.Kind)),
-		Cell: control.CellID(r.cells.of(w.Cell)), State: w.State, Weight: w.Weight, Start: w.Start}
+		Cell: control.CellID(r.cells.of(w.Cell)), State: w.State, Weight: w.Weight, StartedAt: w.StartedAt}
 }
 
-// Line is what the decisions are told of a worker. One that is ready again stays draining for them until it was
+// Advertised is what the decisions are told of a worker. One that is ready again stays draining for them until it was
 // greeted: what drained is often a process that ended, and each dispatcher would take the new one for the old, warm.
-func (w *Worker) Line() control.WorkerInfo {
+func (w *Worker) Advertised() control.WorkerInfo {
 	l := w.current
 	if w.held {
 		l.State = control.Draining
@@ -272,20 +272,20 @@
 	return l
 }
 
-// Held tells whether a worker is ready again and has yet to be greeted.
-func (w *Worker) Held() bool { return w.held }
+// AwaitingStartupProbe tells whether a worker is ready again and has yet to be greeted.
+func (w *Worker) AwaitingStartupProbe() bool { return w.held }
 
-// Greeted notes that a worker was asked for its start, whether it answered or not, and tells whether its line changed.
-func (r *List) Greeted(w *Worker) bool {
+// FinishStartupProbe notes that a worker was asked for its start, whether it answered or not, and tells whether its line changed.
+func (r *List) FinishStartupProbe(w *Worker) bool {
 	was := w.held
 	w.held = false
 	return was
 }
 
-// Greeting decides when a worker is asked anew for its start: after connections were lost, which mostly means that its
+// StartupProbe decides when a worker is asked anew for its start: after connections were lost, which mostly means that its
 // process ended, and again until it answers. It asks at most once for what was sent since it asked last, so that
 // workers which close idle connections are not asked for ever.
-type Greeting struct {
+type StartupProbe struct {
 	asking bool
 	sent   bool // something was sent since it was asked last
 	gap    float64
@@ -296,27 +296,27 @@
 	greetMost  = 2.0 // s, the most between two: cold workers warm up over seconds
 )
 
-// Sent notes that an attempt or an order goes out.
-func (g *Greeting) Sent() { g.sent = true }
+// MarkSent notes that an attempt or an order goes out.
+func (g *StartupProbe) MarkSent() { g.sent = true }
 
-// Lost notes that a connection ended from the worker's side, and tells whether to ask it now.
-func (g *Greeting) Lost() bool {
+// ConnectionLost notes that a connection ended from the worker's side, and tells whether to ask it now.
+func (g *StartupProbe) ConnectionLost() bool {
 	ask := g.sent && !g.asking
 	if ask {
-		g.Ask()
+		g.BeginProbe()
 	}
 	return ask
 }
 
-// Ask notes that it is being asked.
-func (g *Greeting) Ask() { g.asking, g.sent = true, false }
+// BeginProbe notes that it is being asked.
+func (g *StartupProbe) BeginProbe() { g.asking, g.sent = true, false }
 
-// Asking tells whether an answer, or the next time to ask, is awaited.
-func (g *Greeting) Asking() bool { return g.asking }
+// ProbePending tells whether an answer, or the next time to ask, is awaited.
+func (g *StartupProbe) ProbePending() bool { return g.asking }
 
-// Answered notes how a greeting ended. Where it had no answer it tells in how many seconds to ask again; chance is
+// ProbeFinished notes how a greeting ended. Where it had no answer it tells in how many seconds to ask again; chance is
 // 0 to 1, so that dispatchers do not ask in step.
-func (g *Greeting) Answered(ok bool, chance float64) (again float64) {
+func (g *StartupProbe) ProbeFinished(ok bool, chance float64) (again float64) {
 	if ok {
 		g.asking, g.gap = false, 0
 		return 0
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -32,37 +32,37 @@
 	}
 	is := func(name string, s control.WorkerState, from Source) {
 		t.Helper()
-		if w := r.Named(name); w == nil || w.State != s || w.Line().State != s || w.From != from {
+		if w := r.ByName(name); w == nil || w.State != s || w.Advertised().State != s || w.Source != from {
 			t.Errorf("%s: %+v", name, w)
 		}
 	}
-	c, err := r.Replace(Config, []Entry{entry("a", control.Ready), entry("b", control.Ready)}, 1)
+	c, err := r.Replace(SourceConfig, []Entry{entry("a", control.Ready), entry("b", control.Ready)}, 1)
 	say("a b", c, err)
-	c, err = r.Replace(File, []Entry{entry("a", control.Draining), entry("c", control.Ready)}, 2)
+	c, err = r.Replace(SourceFile, []Entry{entry("a", control.Draining), entry("c", control.Ready)}, 2)
 	say("a c", c, err)
-	is("a", control.Draining, File)
-	c, err = r.Rule(entry("c", control.Gone), 3)
+	is("a", control.Draining, SourceFile)
+	c, err = r.SetAdminState(entry("c", control.Gone), 3)
 	say("c", c, err)
-	is("c", control.Gone, Admin)
-	if w := r.Named("c"); w.Heard != 3 || w.Version != r.Version {
-		t.Errorf("heard at %g in version %d of %d", w.Heard, w.Version, r.Version)
+	is("c", control.Gone, SourceAdmin)
+	if w := r.ByName("c"); w.ChangedAt != 3 || w.Version != r.Version {
+		t.Errorf("heard at %g in version %d of %d", w.ChangedAt, w.Version, r.Version)
 	}
-	c, err = r.Replace(File, []Entry{entry("c", control.Ready)}, 4) // the file takes a's drain back; c stays ruled
+	c, err = r.Replace(SourceFile, []Entry{entry("c", control.Ready)}, 4) // the file takes a's drain back; c stays ruled
 	say("a", c, err)
-	if w := r.Named("a"); !w.Held() || w.Line().State != control.Draining || !r.Greeted(w) || r.Greeted(w) {
+	if w := r.ByName("a"); !w.AwaitingStartupProbe() || w.Advertised().State != control.Draining || !r.FinishStartupProbe(w) || r.FinishStartupProbe(w) {
 		t.Errorf("ready again, and not to be greeted first: %+v", w)
 	}
-	is("a", control.Ready, Config)
-	is("c", control.Gone, Admin)
-	c, err = r.Rule(entry("c", control.Ready), 5)
+	is("a", control.Ready, SourceConfig)
+	is("c", control.Gone, SourceAdmin)
+	c, err = r.SetAdminState(entry("c", control.Ready), 5)
 	say("c", c, err)
-	c, err = r.Replace(Config, nil, 6) // b is named by nobody now; a neither
+	c, err = r.Replace(SourceConfig, nil, 6) // b is named by nobody now; a neither
 	say("a b", c, err)
-	is("b", control.Gone, Config)
-	if c, _ = r.Replace(Config, nil, 7); len(c) > 0 {
+	is("b", control.Gone, SourceConfig)
+	if c, _ = r.Replace(SourceConfig, nil, 7); len(c) > 0 {
 		t.Errorf("nothing new, yet %q changed", names(c))
 	}
-	if _, err := r.Rule(Entry{Name: "x", State: control.Draining}, 8); err == nil {
+	if _, err := r.SetAdminState(Entry{Name: "x", State: control.Draining}, 8); err == nil {
 		t.Error("an unknown worker without an address was taken")
 	}
 }
@@ -71,8 +71,8 @@
 // when the one before was heard and by now.
 func TestStartsAreTold(t *testing.T) {
 	r := New(config.WorkerID)
-	r.Replace(Config, []Entry{entry("a", control.Ready)}, 0)
-	w := r.Named("a")
+	r.Replace(SourceConfig, []Entry{entry("a", control.Ready)}, 0)
+	w := r.ByName("a")
 	for _, c := range []struct {
 		epoch, start, now float64
 		news              bool
@@ -87,8 +87,8 @@
 		{90, 40, 66, false, 65},
 		{0, 0, 67, false, 65}, // nothing told
 	} {
-		if got := r.Started(w, c.epoch, c.start, c.now); got != c.news || w.Line().Start != c.want {
-			t.Errorf("start %g at %g: news %v, start %g; want %v, %g", c.epoch, c.now, got, w.Line().Start, c.news, c.want)
+		if got := r.ObserveStart(w, c.epoch, c.start, c.now); got != c.news || w.Advertised().StartedAt != c.want {
+			t.Errorf("start %g at %g: news %v, start %g; want %v, %g", c.epoch, c.now, got, w.Advertised().StartedAt, c.news, c.want)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		{1000, 1004, 1009, 9},   // by seconds
 		{1000, 1000, 400, -600}, // of long ago
 	} {
-		if got := (WallClock{c.atStart, c.now}).StartAt(c.epoch, 10); got != c.want {
+		if got := (WallClock{c.atStart, c.now}).ToMonotonic(c.epoch, 10); got != c.want {
 			t.Errorf("%+v: %g", c, got)
 		}
 	}
@@ -113,14 +113,14 @@
 
 func TestCollisionIsNamed(t *testing.T) {
 	r := New(func(string) control.WorkerID { return 7 })
-	if _, err := r.Replace(Config, []Entry{entry("a", control.Ready)}, 0); err != nil {
+	if _, err := r.Replace(SourceConfig, []Entry{entry("a", control.Ready)}, 0); err != nil {
 		t.Fatal(err)
 	}
-	_, err := r.Replace(File, []Entry{entry("b", control.Ready)}, 0)
+	_, err := r.Replace(SourceFile, []Entry{entry("b", control.Ready)}, 0)
 	if err == nil || !strings.Contains(err.Error(), `"a" and "b"`) {
 		t.Errorf("%v", err)
 	}
-	if _, err := r.Rule(entry("b", control.Gone), 0); err == nil {
+	if _, err := r.SetAdminState(entry("b", control.Gone), 0); err == nil {
 		t.Error("a colliding name was taken from the admin interface")
 	}
 }
@@ -135,7 +135,7 @@
 		ruled := map[string]control.WorkerState{}
 		version := uint32(0)
 		for now := range 40 {
-			if s := Source(rnd.IntN(3)); s < Admin {
+			if s := Source(rnd.IntN(3)); s < SourceAdmin {
 				said[s] = map[string]control.WorkerState{}
 				var list []Entry
 				for _, n := range []string{"a", "b", "c"} {
@@ -145,9 +145,9 @@
 					}
 				}
 				r.Replace(s, list, float64(now))
-			} else if w := r.Named("a"); w != nil && w.Listed {
+			} else if w := r.ByName("a"); w != nil && w.Listed {
 				ruled["a"] = states[rnd.IntN(3)]
-				r.Rule(Entry{Name: "a", State: ruled["a"]}, float64(now))
+				r.SetAdminState(Entry{Name: "a", State: ruled["a"]}, float64(now))
 			}
 			for _, n := range []string{"a", "b", "c"} {
 				want, named := control.Ready, false
@@ -165,7 +165,7 @@
 				if !named {
 					want = control.Gone
 				}
-				if w := r.Named(n); w != nil && w.State != want {
+				if w := r.ByName(n); w != nil && w.State != want {
 					t.Fatalf("seed %d step %d: %s is %d, want %d", seed, now, n, w.State, want)
 				}
 			}
@@ -178,26 +178,26 @@
 }
 
 func TestGreetingIsRepeatedUntilAnswered(t *testing.T) {
-	var g Greeting
-	if g.Lost() {
+	var g StartupProbe
+	if g.ConnectionLost() {
 		t.Error("asked a worker that was sent nothing")
 	}
-	g.Sent()
-	if !g.Lost() || g.Lost() || !g.Asking() {
+	g.MarkSent()
+	if !g.ConnectionLost() || g.ConnectionLost() || !g.ProbePending() {
 		t.Error("a loss asks once, until the answer")
 	}
 	sum, last := 0.0, 0.0
 	for range 8 {
-		last = g.Answered(false, 0.5)
+		last = g.ProbeFinished(false, 0.5)
 		sum += last
 	}
-	if last != greetMost || sum > 8*greetMost || g.Answered(false, 0) != greetMost/2 {
+	if last != greetMost || sum > 8*greetMost || g.ProbeFinished(false, 0) != greetMost/2 {
 		t.Errorf("waits of %g in all, the last %g", sum, last)
 	}
-	if g.Answered(true, 0.5) != 0 || g.Lost() {
+	if g.ProbeFinished(true, 0.5) != 0 || g.ConnectionLost() {
 		t.Error("answered, and asked again without anything sent")
 	}
-	if g.Sent(); !g.Lost() || g.Answered(false, 0.5) != greetFirst {
+	if g.MarkSent(); !g.ConnectionLost() || g.ProbeFinished(false, 0.5) != greetFirst {
 		t.Error("a new loss begins anew")
 	}
 }
--- a/internal/membership/starts.go
+++ b/internal/membership/starts.go
@@ -9,14 +9,14 @@
 
 // WallClock relates a wall clock, in seconds since 1970, to the dispatcher's own: what it told at the own clock's second 0,
 // and what it would have told then by how it goes now. They differ where it was stepped in between.
-type WallClock struct{ AtStart, Now float64 }
+type WallClock struct{ OffsetAtStart, OffsetNow float64 }
 
-// StartAt is when a start told in seconds since 1970 was on the dispatcher's clock. Who told it may have gone by a clock
+// ToMonotonic is when a start told in seconds since 1970 was on the dispatcher's clock. Who told it may have gone by a clock
 // that was stepped as ours was, or not: the later reading that is not in the future holds, as a worker taken for younger
 // than it is gets too little, and one taken for older too much. A start in the future by both was just now.
-func (c WallClock) StartAt(epoch, now float64) float64 {
+func (c WallClock) ToMonotonic(epoch, now float64) float64 {
 	start := math.Inf(-1)
-	for _, offset := range [2]float64{c.AtStart, c.Now} {
+	for _, offset := range [2]float64{c.OffsetAtStart, c.OffsetNow} {
 		if at := epoch - offset; at <= now {
 			start = math.Max(start, at)
 		}
@@ -57,7 +57,7 @@
 		start = now
 	}
 	start = math.Max(start, math.Min(notBefore, now))
-	w.Epoch, w.Start = epoch, start
+	w.Epoch, w.StartedAt = epoch, start
 	s.known, s.heard = true, now
 	return true
 }
--- a/internal/platform/call.go
+++ b/internal/platform/call.go
@@ -80,20 +80,20 @@
 	p.drained()
 }
 
-// Returned implements gateway.Client.
-func (k *call) Returned(_ *gateway.Request, f *gateway.Attempt) {
-	k.c.write(thrift.AppendReturned(k.c.p.scratch[:0], k.seq, f.Body))
+// WriteResponse implements gateway.Client.
+func (k *call) WriteResponse(_ *gateway.Request, f *gateway.Attempt) {
+	k.c.write(thrift.AppendReturned(k.c.p.scratch[:0], k.seq, f.ResponseBody))
 	k.release()
 }
 
-// Shed implements gateway.Client.
-func (k *call) Shed(_ *gateway.Request, retryAfter float64) {
+// WriteShed implements gateway.Client.
+func (k *call) WriteShed(_ *gateway.Request, retryAfter float64) {
 	k.c.write(thrift.AppendShed(k.c.p.scratch[:0], k.seq, k.c.p.pause(retryAfter)))
 	k.release()
 }
 
-// Failed implements gateway.Client.
-func (k *call) Failed(_ *gateway.Request, _ bool, why string) {
+// WriteFailure implements gateway.Client.
+func (k *call) WriteFailure(_ *gateway.Request, _ bool, why string) {
 	k.c.write(thrift.AppendFailed(k.c.p.scratch[:0], k.seq, why))
 	k.release()
 }
--- a/internal/platform/changelog.go
+++ b/internal/platform/changelog.go
@@ -11,10 +11,10 @@
 	"strconv"
 
 	"mastchute/control"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
-	"mastchute/internal/h1"
-	"mastchute/internal/http1"
-	"mastchute/internal/loop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
 	"mastchute/internal/membership"
 )
 
@@ -67,10 +67,10 @@
 		return membership.Entry{}, errors.New("a worker without an id, or in a state that is not known")
 	}
 	e := membership.Entry{Name: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: strconv.FormatInt(m.Cell, 10), Weight: m.Weight, State: state,
-		Told: true, Start: math.Inf(-1), NotBefore: notBefore}
+		StartProvided: true, StartedAt: math.Inf(-1), StartNotBefore: notBefore}
 	if m.Start > 0 {
 		e.Epoch = m.Start / 1e3
-		e.Start = wall.StartAt(e.Epoch, now)
+		e.StartedAt = wall.ToMonotonic(e.Epoch, now)
 	}
 	var err error
 	if e.Addr, err = netip.ParseAddrPort(m.Address); err != nil && state != control.Gone {
@@ -82,9 +82,9 @@
 // feed follows the change log by long polls, from the last event heard.
 type feed struct {
 	g     *gateway.Gateway
-	l     *loop.Loop
-	pool  *h1.Pool
-	call  h1.Call
+	l     *eventloop.Loop
+	pool  *httpconn.Pool
+	call  httpconn.Call
 	head  []byte
 	body  []byte
 	over  bool // the answer is too long, or not good
@@ -95,11 +95,11 @@
 	slack float64 // s that the answer may take beyond that
 	grace float64 // s after which what the change log has counts as heard
 	held  bool    // sends wait for an answer of the change log
-	hold  loop.Timer
+	hold  eventloop.Timer
 	freed func() // lets them go
 	asked float64
-	good  float64    // when the latest question was asked that had a good answer; -Inf for none
-	timer loop.Timer // the next poll, or the end of this one's time
+	good  float64         // when the latest question was asked that had a good answer; -Inf for none
+	timer eventloop.Timer // the next poll, or the end of this one's time
 	out   bool
 	told  func(why string) // counts what went wrong
 }
@@ -108,10 +108,10 @@
 	f := &feed{g: g, l: g.Loop, told: told, grace: grace, freed: freed}
 	f.slack = pollSlack
 	f.good = f.l.Now() // the configuration holds what was known at the start
-	f.call.Caller = f
+	f.call.Handler = f
 	f.timer.Fire = f.fire
 	f.hold.Fire = f.release
-	f.l.OnStandstill = f.stoodStill
+	f.l.OnStall = f.stoodStill
 	return f
 }
 
@@ -121,7 +121,7 @@
 		f.call.Cancel()
 		f.pool.Close()
 	}
-	f.pool = h1.NewPool(f.l, at, h1.PoolOptions{Conns: 1, Idle: 1, IdleTimeout: pollMost, ConnectTimeout: pollMost})
+	f.pool = httpconn.NewPool(f.l, at, httpconn.PoolOptions{MaxConnections: 1, MaxIdle: 1, IdleTimeout: pollMost, ConnectTimeout: pollMost})
 	f.gap, f.out = 0, false
 	f.ask(pollWait)
 }
@@ -132,7 +132,7 @@
 	if span <= math.Max(f.grace/2, standstillLeast) || f.pool == nil {
 		return
 	}
-	f.g.Note("asks_change_log_first", "standstill", nil, nil, span)
+	f.g.RecordEvent("asks_change_log_first", "standstill", nil, nil, span)
 	f.held = true
 	f.l.Start(&f.hold, askMost)
 	f.call.Cancel()
@@ -154,7 +154,7 @@
 	b = strconv.AppendInt(b, f.last, 10)
 	b = append(b, "&timeout="...)
 	b = strconv.AppendInt(b, int64(wait*1e3), 10)
-	b = http1.AppendRequest(nil, "GET", string(b))
+	b = httpcodec.AppendRequest(nil, "GET", string(b))
 	b = append(b, "Host: "...)
 	b = f.pool.Addr.AppendTo(b)
 	f.head = append(b, "\r\n\r\n"...)
@@ -168,7 +168,7 @@
 	if f.out { // silence
 		f.told("change_log_silent")
 		f.slack = nextSlack(f.slack, true, 0)
-		f.g.Note("change_log_silent", "", nil, nil, float64(f.last))
+		f.g.RecordEvent("change_log_silent", "", nil, nil, float64(f.last))
 		f.call.Cancel()
 		f.again(true)
 		return
@@ -180,7 +180,7 @@
 func (f *feed) again(failed bool) {
 	f.out = false
 	f.gap = nextBackoff(f.gap, failed)
-	f.l.Start(&f.timer, pollDelay(f.gap, f.g.Chance(), f.l.Now()-f.asked))
+	f.l.Start(&f.timer, pollDelay(f.gap, f.g.RandomFloat(), f.l.Now()-f.asked))
 }
 
 // nextBackoff doubles the gap after each poll that failed, within bounds; a good one ends it.
@@ -206,11 +206,11 @@
 	return math.Max(gap*(0.5+0.5*chance), pollLeast-sinceAsked)
 }
 
-// Head implements h1.Caller.
-func (f *feed) Head(h *http1.Head) { f.over = h.Status != 200 }
+// ResponseHead implements httpconn.Caller.
+func (f *feed) ResponseHead(h *httpcodec.Head) { f.over = h.Status != 200 }
 
-// Body implements h1.Caller.
-func (f *feed) Body(b []byte) {
+// ResponseBody implements httpconn.Caller.
+func (f *feed) ResponseBody(b []byte) {
 	if len(f.body)+len(b) > pollBody {
 		f.over = true
 	}
@@ -219,8 +219,8 @@
 	}
 }
 
-// End implements h1.Caller.
-func (f *feed) End(err error) {
+// ResponseDone implements httpconn.Caller.
+func (f *feed) ResponseDone(err error) {
 	var c Changes
 	if err == nil && f.over {
 		err = errors.New("an answer that is not good")
@@ -240,8 +240,8 @@
 	}
 	if err != nil {
 		f.told("change_log_failed")
-		f.g.Note("change_log_failed", closeReason(err), nil, nil, float64(f.last))
-		f.g.ListFailed(err)
+		f.g.RecordEvent("change_log_failed", closeReason(err), nil, nil, float64(f.last))
+		f.g.WorkerListFailed(err)
 	}
 	f.release()
 	f.again(err != nil)
@@ -314,7 +314,7 @@
 			f.skipped("change_log_entry", err)
 			var named struct{ ID string }
 			json.Unmarshal(raw, &named)
-			w := f.g.Members.Named(named.ID) // the list names it still: it stays as it is
+			w := f.g.Members.ByName(named.ID) // the list names it still: it stays as it is
 			if w == nil || !w.Listed {
 				continue
 			}
@@ -327,11 +327,11 @@
 		at[entry.Name] = len(list)
 		list = append(list, entry)
 	}
-	take := f.g.Change
+	take := f.g.UpdateWorkers
 	if e.Fleet.Complete {
-		take = f.g.Replace
+		take = f.g.ReplaceWorkers
 	}
-	if err := take(membership.Log, list); err != nil {
+	if err := take(membership.SourceChangeLog, list); err != nil {
 		f.skipped("change_log_event", err)
 	}
 }
@@ -339,5 +339,5 @@
 // skipped counts and logs what was left out of the change log; the rest of it was taken.
 func (f *feed) skipped(why string, err error) {
 	f.told(why)
-	f.g.Skipped(err)
+	f.g.WorkerEntrySkipped(err)
 }
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -2,19 +2,19 @@
 
 import (
 	"mastchute/control"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
-	"mastchute/internal/loop"
-	"mastchute/internal/permit"
+	"mastchute/internal/rules"
 	"mastchute/internal/thrift"
 )
 
 // clientConn is one connection of a client. Idle it holds no buffers.
 type clientConn struct {
 	p          *front
-	conn       *loop.Conn
+	conn       *eventloop.Conn
 	first      *call // open on it
 	calls      int
-	timer      loop.Timer
+	timer      eventloop.Timer
 	since      float64 // when it was accepted
 	faults     int
 	reads      uint32
@@ -36,25 +36,25 @@
 	c.prev, c.next = nil, nil
 }
 
-// Opened implements loop.Handler.
-func (c *clientConn) Opened(*loop.Conn) {}
+// Connected implements eventloop.Handler.
+func (c *clientConn) Connected(*eventloop.Conn) {}
 
-// Drained implements loop.Handler.
-func (c *clientConn) Drained(*loop.Conn) {}
+// Flushed implements eventloop.Handler.
+func (c *clientConn) Flushed(*eventloop.Conn) {}
 
-// PeerClosed implements loop.HalfCloser. A client that closed its side has gone for all that can be told, and nothing goes
+// PeerClosed implements eventloop.HalfCloser. A client that closed its side has gone for all that can be told, and nothing goes
 // on for it; should it still read, each of its requests has its final answer, those written in this turn included.
-func (c *clientConn) PeerClosed(conn *loop.Conn) {
+func (c *clientConn) PeerClosed(conn *eventloop.Conn) {
 	for k := c.first; k != nil; k = k.next {
 		c.write(thrift.AppendFailed(c.p.scratch[:0], k.seq, "the client closed its side"))
 	}
-	if conn.Waiting() > 0 {
+	if conn.UnsentBytes() > 0 {
 		c.endSoon("peer_closed")
 	}
 }
 
-// Closed implements loop.Handler: the client has gone, and wants none of its answers.
-func (c *clientConn) Closed(_ *loop.Conn, err error) { c.over(closeReason(err)) }
+// Closed implements eventloop.Handler: the client has gone, and wants none of its answers.
+func (c *clientConn) Closed(_ *eventloop.Conn, err error) { c.over(closeReason(err)) }
 
 // end closes the connection; what is open on it is given up. Answers written in this turn go out first: they are given,
 // and nobody would give them again.
@@ -62,7 +62,7 @@
 	if c.closing {
 		return
 	}
-	if c.conn.Waiting() > 0 {
+	if c.conn.UnsentBytes() > 0 {
 		c.conn.CloseFlushed()
 	} else {
 		c.conn.Close()
@@ -95,7 +95,7 @@
 // over lets go of a connection that has ended; what is open on it is given up.
 func (c *clientConn) over(why string) {
 	c.closing = true
-	c.p.g.Note("client_closed", why, nil, nil, float64(c.calls))
+	c.p.g.RecordEvent("client_closed", why, nil, nil, float64(c.calls))
 	c.p.l.Cancel(&c.timer)
 	if c.next != nil {
 		c.unlink()
@@ -105,22 +105,22 @@
 		k := c.first
 		q := k.q
 		k.release()
-		c.p.g.Left(q)
+		c.p.g.ClientGone(q)
 	}
 }
 
 // expired ends a connection whose time is up; bytes that lie unread have come in time.
 func (c *clientConn) expired() {
 	part, reads, rests := c.part, c.reads, c.rests
-	if c.conn.Poll(); c.closing || c.reads != reads && !(part && c.part) {
+	if c.conn.ReadNow(); c.closing || c.reads != reads && !(part && c.part) {
 		return
 	}
 	why := "idle"
 	switch {
-	case c.part && c.conn.Rests() != rests: // our reads failed
+	case c.part && c.conn.ReadPauses() != rests: // our reads failed
 		c.wait(true)
 		return
-	case c.part && permit.Close(c.calls) != permit.Allowed:
+	case c.part && rules.CheckClose(c.calls) != rules.Allowed:
 		c.stalled = true // until its answers are given
 		return
 	case c.part:
@@ -141,7 +141,7 @@
 	case c.closing:
 	case part:
 		if !c.part || !c.timer.Pending() {
-			c.part, c.rests = true, c.conn.Rests()
+			c.part, c.rests = true, c.conn.ReadPauses()
 			c.p.l.Start(&c.timer, partMost)
 		}
 	case c.calls > 0:
@@ -153,12 +153,12 @@
 	}
 }
 
-// Data implements loop.Handler.
-func (c *clientConn) Data(conn *loop.Conn, b []byte) int {
+// Received implements eventloop.Handler.
+func (c *clientConn) Received(conn *eventloop.Conn, b []byte) int {
 	used := 0
 	c.reads++
 	for !c.closing {
-		payload, n, err := thrift.Frame(b[used:], thrift.MostFrame)
+		payload, n, err := thrift.ReadFrame(b[used:], thrift.MaxFrameBytes)
 		if err != nil {
 			c.p.refuse("frame")
 			c.cut("frame")
@@ -168,10 +168,10 @@
 			break
 		}
 		used += n
-		m, err := thrift.Read(payload)
+		m, err := thrift.ReadMessage(payload)
 		if err != nil {
 			c.p.refuse("unreadable")
-			c.write(thrift.AppendFault(c.p.scratch[:0], m.Seq, err.Error()))
+			c.write(thrift.AppendException(c.p.scratch[:0], m.Seq, err.Error()))
 			c.endSoon("unreadable")
 			return len(b)
 		}
@@ -181,7 +181,7 @@
 	if !c.closing {
 		c.unlink()
 		c.link()
-		if conn.Waiting() > unreadMost {
+		if conn.UnsentBytes() > unreadMost {
 			c.p.refuse("does_not_read")
 			c.cut("does_not_read")
 			return len(b)
@@ -203,16 +203,16 @@
 }
 
 // heard takes one message.
-func (c *clientConn) heard(m *thrift.Call) {
+func (c *clientConn) heard(m *thrift.Message) {
 	p := c.p
 	switch {
-	case m.Verb == thrift.Alive && m.Fault == nil:
-		c.write(thrift.AppendGood(p.scratch[:0], m.Seq, p.g.Ready() && p.g.Serving() && !p.leaving))
-	case m.Verb == thrift.Cancel:
+	case m.Method == thrift.Alive && m.Fault == nil:
+		c.write(thrift.AppendAlive(p.scratch[:0], m.Seq, p.g.Ready() && p.g.Serving() && !p.leaving))
+	case m.Method == thrift.Cancel:
 		if k := c.find(m.Target); k != nil && m.Fault == nil {
 			q := k.q
 			k.release()
-			p.g.Left(q)
+			p.g.ClientGone(q)
 		}
 	case m.Fault != nil:
 		c.bad("unusable", m.Seq, m.Fault.Error())
@@ -230,21 +230,21 @@
 // bad answers what can't be used; a client that goes on so is not listened to for ever.
 func (c *clientConn) bad(why string, seq int32, text string) {
 	c.p.refuse(why)
-	c.write(thrift.AppendFault(c.p.scratch[:0], seq, text))
+	c.write(thrift.AppendException(c.p.scratch[:0], seq, text))
 	if c.faults++; c.faults >= faultsMost && c.calls == 0 {
 		c.endSoon(why)
 	}
 }
 
 // infer takes a request, or refuses it before it is taken.
-func (c *clientConn) infer(m *thrift.Call) {
+func (c *clientConn) infer(m *thrift.Message) {
 	p := c.p
 	group, ok := p.groups[string(m.Group)]
 	if !ok {
 		c.bad("unknown_group", m.Seq, "no such model group")
 		return
 	}
-	if p.deduped[group] && len(m.Mark) == 0 {
+	if p.deduped[group] && len(m.IdempotencyKey) == 0 {
 		c.bad("no_mark", m.Seq, "a deduped inference needs its mark")
 		return
 	}
@@ -275,7 +275,7 @@
 	}
 	k := p.take()
 	k.c, k.seq, k.id = c, m.Seq, key
-	k.group, k.mark, k.body = append(k.group[:0], m.Group...), append(k.mark[:0], m.Mark...), append(k.body[:0], m.Body...)
+	k.group, k.mark, k.body = append(k.group[:0], m.Group...), append(k.mark[:0], m.IdempotencyKey...), append(k.body[:0], m.Body...)
 	p.bodies += int64(len(k.body))
 	p.open[key] = k
 	k.next, c.first = c.first, k
@@ -284,9 +284,9 @@
 	if !ok {
 		tenant = -1
 	}
-	cameIn := c.conn.HeardAt()
-	k.q = p.g.Accept(k, model, tenant, cameIn, control.Request{Group: control.GroupID(group), MemoryMB: m.MemoryMB, Lanes: m.Lanes,
-		Work: m.Work, Load: m.Load, NotAfter: cameIn + m.Timeout, Repeat: m.Repeat})
+	cameIn := c.conn.ReceivedAt()
+	k.q = p.g.AcceptRequest(k, model, tenant, cameIn, control.Request{Group: control.GroupID(group), MemoryMB: m.MemoryMB, Concurrency: m.Concurrency,
+		WorkHint: m.WorkHint, LoadTimeHint: m.LoadTimeHint, Deadline: cameIn + m.Timeout, ClientRetry: m.ClientRetry})
 	k.q.SetTrace(key)
 }
 
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -3,8 +3,8 @@
 import (
 	"net/netip"
 
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
-	"mastchute/internal/loop"
 )
 
 const (
@@ -25,8 +25,8 @@
 // front takes clients in, and makes the links to workers. It implements gateway.Front.
 type front struct {
 	g        *gateway.Gateway
-	l        *loop.Loop
-	listener *loop.Listener
+	l        *eventloop.Loop
+	listener *eventloop.Listener
 	groups   map[string]int
 	tenants  map[string]int
 	deduped  []bool // by model group
@@ -41,8 +41,8 @@
 	free     []*call
 	scratch  []byte
 	draining bool
-	quiet    loop.Timer // while draining: since nothing was in flight or came in
-	leaving  bool       // told to stop: nobody is to be sent here any more
+	quiet    eventloop.Timer // while draining: since nothing was in flight or came in
+	leaving  bool            // told to stop: nobody is to be sent here any more
 	refused  map[string]int
 	held     func() bool // nothing is to be sent to workers for a moment
 	workers  workers
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	p.listener.Room = p.room
-	p.l.OnShortage = p.freeDescriptor
+	p.l.OnDescriptorShortage = p.freeDescriptor
 	return p, nil
 }
 
@@ -96,7 +96,7 @@
 		all = append(all, c)
 	}
 	for _, c := range all {
-		if c.conn.Poll(); c.calls == 0 && !c.part {
+		if c.conn.ReadNow(); c.calls == 0 && !c.part {
 			c.end("drained")
 		}
 	}
@@ -104,14 +104,14 @@
 
 // Conns and Held implement gateway.Front.
 
-func (p *front) Conns() int {
+func (p *front) ConnectionCount() int {
 	if p.listener.Draining() {
 		return p.conns + 1 // some may wait to be accepted
 	}
 	return p.conns
 }
 
-func (p *front) Held() int64 { return p.bodies }
+func (p *front) BufferedBytes() int64 { return p.bodies }
 
 func (p *front) Addr() netip.AddrPort { return p.listener.Addr() }
 
@@ -143,7 +143,7 @@
 	return p.conns+len(p.workers.conns) < before
 }
 
-func (p *front) accept(conn *loop.Conn) loop.Handler {
+func (p *front) accept(conn *eventloop.Conn) eventloop.Handler {
 	c := &clientConn{p: p, conn: conn, since: p.l.Now()}
 	c.timer.Fire = c.expired
 	p.conns++
@@ -160,7 +160,7 @@
 		if idle == nil {
 			return false
 		}
-		if idle.conn.Poll(); idle.calls > 0 || idle.part && idle.used { // half a first message may be kept back for good
+		if idle.conn.ReadNow(); idle.calls > 0 || idle.part && idle.used { // half a first message may be kept back for good
 			continue
 		}
 		if !idle.closing {
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -6,15 +6,15 @@
 	"testing"
 	"time"
 
-	"mastchute/internal/sys"
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
 )
 
 // stepped is a wall clock that a test steps.
 func stepped(t *testing.T) *atomic.Int64 {
 	var by atomic.Int64
-	sys.Default = &faults.Kernel{Kernel: sys.Linux{}, Offset: func() time.Duration { return time.Duration(by.Load()) }}
-	t.Cleanup(func() { sys.Default = sys.Linux{} })
+	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Offset: func() time.Duration { return time.Duration(by.Load()) }}
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	return &by
 }
 
@@ -43,7 +43,7 @@
 					by.Store(int64(ours))
 					tell(time.Now().Add(theirs).UnixMilli())
 					r.on(func() {
-						if age := r.d.Loop.Now() - r.d.Gateway.Members.Named("w1").Line().Start; age < 0 || age > 3.5 {
+						if age := r.d.Loop.Now() - r.d.Gateway.Members.ByName("w1").Advertised().StartedAt; age < 0 || age > 3.5 {
 							t.Errorf("a start of now is %g s old", age)
 						}
 					})
@@ -64,14 +64,14 @@
 	r.log.add(false, w.member("active", second))
 	r.until("both are heard", func() bool { return r.d.feed.last == 3 })
 	var start float64
-	r.on(func() { start = r.d.Gateway.Members.Named("w1").Line().Start })
+	r.on(func() { start = r.d.Gateway.Members.ByName("w1").Advertised().StartedAt })
 	by.Store(int64(time.Hour))
 	r.log.add(false, w.member("leaving", second))
 	r.log.add(false, w.member("active", second))
 	r.log.add(false, w.member("active", first))
 	r.until("all are heard", func() bool { return r.d.feed.last == 6 })
 	r.on(func() {
-		if s := r.d.Gateway.Members.Named("w1").Line().Start; s != start {
+		if s := r.d.Gateway.Members.ByName("w1").Advertised().StartedAt; s != start {
 			t.Errorf("the start moved from %g to %g", start, s)
 		}
 	})
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -15,8 +15,8 @@
 
 	"mastchute/control"
 	"mastchute/internal/config"
-	"mastchute/internal/sys"
-	"mastchute/internal/wire"
+	"mastchute/internal/simwire"
+	"mastchute/internal/syscalls"
 )
 
 const (
@@ -60,7 +60,7 @@
 	if info, err := os.Stat(path); err == nil && info.Size() > configMost {
 		return nil, fmt.Errorf("%s has %d bytes; %d at most are read", path, info.Size(), configMost)
 	}
-	text, err := sys.Default.ReadFile(path)
+	text, err := syscalls.Default.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 	if f.Limits.MemoryMB < 1 || f.Limits.Sockets < 2*reserved {
 		return nil, fmt.Errorf("limits: %g MB and %d descriptors are too few", f.Limits.MemoryMB, f.Limits.Sockets)
 	}
-	if f.set, err = wire.Settings(f.Settings); err != nil {
+	if f.set, err = simwire.Settings(f.Settings); err != nil {
 		return nil, err
 	}
 	if err = f.check(); err != nil {
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys"
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
 	"mastchute/internal/thrift/thrifttest"
 )
 
@@ -36,7 +36,7 @@
 
 // newFailing makes the kernel of all loops of a test.
 func newFailing(t *testing.T) *failing {
-	k := &failing{Kernel: faults.Kernel{Kernel: sys.Linux{}}}
+	k := &failing{Kernel: faults.Kernel{Kernel: syscalls.Linux{}}}
 	k.Fail = func(c faults.Call, _ int) error {
 		if c == faults.EpollWait {
 			time.Sleep(time.Duration(k.still.Swap(0)))
@@ -59,8 +59,8 @@
 		}
 		return n
 	}
-	sys.Default = k
-	t.Cleanup(func() { sys.Default = sys.Linux{} })
+	syscalls.Default = k
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	return k
 }
 
--- a/internal/platform/late_test.go
+++ b/internal/platform/late_test.go
@@ -46,8 +46,8 @@
 // repeats has f look at all repeats that wait for a connection, at the end of each turn.
 func (r *rig) repeats(f func(s *sent)) {
 	r.on(func() {
-		turn := r.d.Loop.OnTurn
-		r.d.Loop.OnTurn = func() {
+		turn := r.d.Loop.AfterEvents
+		r.d.Loop.AfterEvents = func() {
 			turn()
 			for c := range r.d.front.workers.conns {
 				for _, s := range c.l.queue {
@@ -67,11 +67,11 @@
 	r := newRig(t, "load", w)
 	looked := 0
 	r.repeats(func(s *sent) {
-		if until := s.f.NotAfter - r.d.Loop.Now(); looked == 0 && (until > 1 || until < 0.5) {
+		if until := s.f.SendDeadline - r.d.Loop.Now(); looked == 0 && (until > 1 || until < 0.5) {
 			t.Errorf("a window of 1 s ends in %g s", until)
 		}
 		looked++
-		s.f.NotAfter = r.d.Loop.Now() - 0.001 // the connection comes up a moment too late
+		s.f.SendDeadline = r.d.Loop.Now() - 0.001 // the connection comes up a moment too late
 	})
 	if got, _ := r.ask("write"); got != "shed" && got != "failed" {
 		t.Errorf("it was %s", got)
@@ -217,8 +217,8 @@
 			t.Errorf("%d records kept", n)
 		}
 		for c := range p.workers.conns {
-			if len(c.open) > 0 || len(c.l.queue) > 0 || c.conn.Waiting() > unreadMost {
-				t.Errorf("%d open, %d queued, %d bytes wait", len(c.open), len(c.l.queue), c.conn.Waiting())
+			if len(c.open) > 0 || len(c.l.queue) > 0 || c.conn.UnsentBytes() > unreadMost {
+				t.Errorf("%d open, %d queued, %d bytes wait", len(c.open), len(c.l.queue), c.conn.UnsentBytes())
 			}
 		}
 	})
@@ -233,7 +233,7 @@
 	slow := r.dial2()
 	half := func() (n int) { // bytes that the kernel does not take
 		for c := r.d.front.oldest.next; c != &r.d.front.oldest; c = c.next {
-			n += c.conn.Waiting()
+			n += c.conn.UnsentBytes()
 		}
 		return n
 	}
--- a/internal/platform/outgoing.go
+++ b/internal/platform/outgoing.go
@@ -3,13 +3,13 @@
 import (
 	"mastchute/control"
 	"mastchute/internal/gateway"
-	"mastchute/internal/lines"
+	"mastchute/internal/workerproto"
 )
 
 // sent is the record of one attempt or order on its way. It stays with its attempt or order.
 type sent struct {
 	f        *gateway.Attempt
-	o        *gateway.Order
+	o        *gateway.ControlCall
 	l        *link
 	c        *workerConn // nil until written
 	queued   bool
@@ -32,9 +32,9 @@
 
 func (r *sent) end(why control.Result) {
 	if r.f != nil {
-		r.f.End(why)
+		r.f.Finish(why)
 	} else if r.o != nil {
-		r.o.End(why)
+		r.o.Finish(why)
 	}
 }
 
@@ -59,16 +59,16 @@
 	}
 	r.c = nil
 	c.forget(r)
-	switch left := c.conn.Sent(); {
+	switch left := c.conn.SentBytes(); {
 	case left >= r.to:
 		if r.f != nil {
-			b := lines.AppendCancel(c.l.s.p.scratch[:0], r.name[:r.n])
+			b := workerproto.AppendCancel(c.l.s.p.scratch[:0], r.name[:r.n])
 			c.conn.Write(b)
 			c.l.s.p.scratch = b[:0]
 		}
 	case c.retract(r):
 	default: // part of it has left: the worker does not read, and the rest is not to be sent any more
-		c.end(control.Reset, "given_up_in_part")
+		c.end(control.ConnectionReset, "given_up_in_part")
 		return
 	}
 	if len(c.l.queue) > 0 {
@@ -78,4 +78,6 @@
 }
 
 // left tells whether a byte of it has gone to the kernel.
-func (r *sent) left() bool { return r != nil && !r.queued && (r.c == nil || r.c.conn.Sent() > r.from) }
+func (r *sent) left() bool {
+	return r != nil && !r.queued && (r.c == nil || r.c.conn.SentBytes() > r.from)
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -198,12 +198,12 @@
 	a, b := newWorker(t, "w1", fine), newWorker(t, "w2", fine)
 	r := newRig(t, "load", a)
 	r.on(func() { // w1 drains in the very turn in which the attempt is queued for its connection
-		turn, done := r.d.Loop.OnTurn, false
-		r.d.Loop.OnTurn = func() {
+		turn, done := r.d.Loop.AfterEvents, false
+		r.d.Loop.AfterEvents = func() {
 			turn()
 			if v := r.d.Gateway.Status().Workers[0]; !done && v.Queued > 0 {
 				done = true
-				if err := r.d.Gateway.Change(membership.Log, []membership.Entry{r.entry(a, control.Draining), r.entry(b, control.Ready)}); err != nil {
+				if err := r.d.Gateway.UpdateWorkers(membership.SourceChangeLog, []membership.Entry{r.entry(a, control.Draining), r.entry(b, control.Ready)}); err != nil {
 					t.Error(err)
 				}
 			}
@@ -376,8 +376,8 @@
 			t.Errorf("%+v %v", a, ok)
 		}
 	}
-	if err := <-r.d.ended; err != nil || r.d.Gateway.Exit().Failed > 0 {
-		t.Errorf("%v %+v", err, r.d.Gateway.Exit())
+	if err := <-r.d.ended; err != nil || r.d.Gateway.ExitStatus().FailedRequests > 0 {
+		t.Errorf("%v %+v", err, r.d.Gateway.ExitStatus())
 	}
 	r.d.ended <- nil
 }
@@ -483,9 +483,9 @@
 	r.idle()
 	r.until("connections are closed", func() bool { return len(r.d.front.workers.conns) == 0 && r.d.front.conns == 0 })
 	r.on(func() {
-		r.d.Gateway.Forget(r.d.Loop.Now() + 1)
-		if v := r.d.Gateway.Status(); len(v.Workers) != 0 || r.d.Gateway.Models() != 0 || len(r.d.front.free) > keptCalls {
-			t.Errorf("%d workers, %d models left", len(v.Workers), r.d.Gateway.Models())
+		r.d.Gateway.EvictIdle(r.d.Loop.Now() + 1)
+		if v := r.d.Gateway.Status(); len(v.Workers) != 0 || r.d.Gateway.ModelCount() != 0 || len(r.d.front.free) > keptCalls {
+			t.Errorf("%d workers, %d models left", len(v.Workers), r.d.Gateway.ModelCount())
 		}
 	})
 }
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -14,10 +14,10 @@
 	done := make(chan struct{})
 	r.on(func() {
 		l := r.d.Loop
-		turn := l.OnTurn
+		turn := l.AfterEvents
 		c.send(group, "in")
 		for x := r.d.front.oldest.next; x != &r.d.front.oldest; x = x.next {
-			x.conn.Poll()
+			x.conn.ReadNow()
 		}
 		if len(r.d.front.open) != 1 {
 			r.t.Errorf("%d in hand", len(r.d.front.open))
@@ -25,14 +25,14 @@
 		var k *call
 		for _, k = range r.d.front.open {
 		}
-		l.OnTurn = func() {
-			l.OnTurn = turn
+		l.AfterEvents = func() {
+			l.AfterEvents = turn
 			turn() // the decisions ask for the attempt, and the link's pump is due
 			act := func() { then(k); close(done) }
 			if up {
-				l.Later(act) // between the pump's write and the flush
+				l.Defer(act) // between the pump's write and the flush
 			} else {
-				l.Later(func() { l.Later(act) }) // after the pump has begun to connect
+				l.Defer(func() { l.Defer(act) }) // after the pump has begun to connect
 			}
 		}
 	})
@@ -43,17 +43,17 @@
 func TestWhatIsCalledOffNeverLeaves(t *testing.T) {
 	for name, off := range map[string]func(r *rig, k *call, w *scripted){
 		"the client closes":  func(_ *rig, k *call, _ *scripted) { c := k.c; c.conn.Close(); c.Closed(nil, io.EOF) },
-		"it takes it back":   func(r *rig, k *call, _ *scripted) { q := k.q; k.release(); r.d.Gateway.Left(q) },
+		"it takes it back":   func(r *rig, k *call, _ *scripted) { q := k.q; k.release(); r.d.Gateway.ClientGone(q) },
 		"the decisions fail": func(r *rig, k *call, _ *scripted) { r.d.Gateway.Fail(k.q.ID()) },
 		"the worker drains": func(r *rig, _ *call, w *scripted) {
 			r.d.feed.body = append(r.d.feed.body[:0], `{"seq":2,"results":[{"seq":2,"fleet":{"members":[`+w.member("leaving", 0)+`]}}]}`...)
 			r.d.feed.call.Cancel()
-			r.d.feed.End(nil)
+			r.d.feed.ResponseDone(nil)
 		},
 		"the worker is gone": func(r *rig, _ *call, w *scripted) {
 			r.d.feed.body = append(r.d.feed.body[:0], `{"seq":2,"results":[{"seq":2,"fleet":{"members":[`+w.member("left", 0)+`]}}]}`...)
 			r.d.feed.call.Cancel()
-			r.d.feed.End(nil)
+			r.d.feed.ResponseDone(nil)
 		},
 	} {
 		for _, up := range []bool{false, true} {
--- a/internal/platform/restart_test.go
+++ b/internal/platform/restart_test.go
@@ -51,7 +51,7 @@
 func (r *rig) answerInHand() {
 	for _, k := range r.d.front.open {
 		for c := range r.d.front.workers.conns {
-			c.Data(c.conn, []byte(string(k.id[:])+" served detail=resident 4\r\nwell\r\n"))
+			c.Received(c.conn, []byte(string(k.id[:])+" served detail=resident 4\r\nwell\r\n"))
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	r.on(func() { r.d.Stop() })
 	r.on(func() { r.d.stop.Fire(); r.d.Gateway.Stop(0) })
 	for timeout, kill := range map[float64]float64{0.5: 1.2, 3: 3.7, 9: 3.7} { // the platform's, after SIGTERM
-		if end := lifecycle.PlanStop(stopTimes, timeout).End; end > kill-0.1 || end < kill-0.5 {
+		if end := lifecycle.PlanStop(stopTimes, timeout).AnswerBy; end > kill-0.1 || end < kill-0.5 {
 			t.Errorf("timeout %g: all is answered %g s after SIGTERM, killed after %g", timeout, end, kill)
 		}
 	}
@@ -206,7 +206,7 @@
 				f := r.d.feed
 				f.body, f.over = append(f.body[:0], text...), false
 				f.call.Cancel()
-				f.End(nil)
+				f.ResponseDone(nil)
 				return err
 			}
 			r.on(func() {
@@ -253,8 +253,8 @@
 	b.file.seed++ // the platform gives each dispatcher another one
 	b.start()
 	var first, second float64
-	a.on(func() { first = a.d.Gateway.Chance() })
-	b.on(func() { second = b.d.Gateway.Chance() })
+	a.on(func() { first = a.d.Gateway.RandomFloat() })
+	b.on(func() { second = b.d.Gateway.RandomFloat() })
 	if first == second {
 		t.Error("two dispatchers draw the same")
 	}
@@ -269,7 +269,7 @@
 	r.log.add(false, w.member("leaving", 0))
 	r.until("both are heard", func() bool { return r.d.feed.last == 3 })
 	r.on(func() {
-		if e := r.d.Gateway.Members.Named("w1").Epoch; e != float64(now)/1e3 {
+		if e := r.d.Gateway.Members.ByName("w1").Epoch; e != float64(now)/1e3 {
 			t.Errorf("start %g, told %d ms", e, now)
 		}
 	})
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/rs/zerolog"
 
-	"mastchute/internal/loop/looptest"
+	"mastchute/internal/eventloop/eventlooptest"
 	"mastchute/internal/thrift/thrifttest"
 )
 
@@ -277,10 +277,13 @@
 }
 
 // on runs f on the loop.
-func (r *rig) on(f func()) { r.t.Helper(); looptest.On(r.t, r.d.Loop, f) }
+func (r *rig) on(f func()) { r.t.Helper(); eventlooptest.On(r.t, r.d.Loop, f) }
 
 // until waits for something that is to come about, as seen on the loop.
-func (r *rig) until(what string, f func() bool) { r.t.Helper(); looptest.Until(r.t, r.d.Loop, what, f) }
+func (r *rig) until(what string, f func() bool) {
+	r.t.Helper()
+	eventlooptest.Until(r.t, r.d.Loop, what, f)
+}
 
 // client is one connection of a client.
 type client struct {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -16,9 +16,9 @@
 	"mastchute/control"
 	"mastchute/internal/app"
 	"mastchute/internal/config"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
 	"mastchute/internal/lifecycle"
-	"mastchute/internal/loop"
 	"mastchute/internal/membership"
 )
 
@@ -33,40 +33,40 @@
 )
 
 // stopTimes are the platform's: it kills what was told to stop.
-var stopTimes = lifecycle.StopTimes{ClientsCome: 0.6, ServeMost: 0.75, Longest: 3, Kill: 0.7, Slack: 0.15}
+var stopTimes = lifecycle.StopTimes{ClientArrivalSpan: 0.6, MaxServeSpan: 0.75, MaxDeadline: 3, KillDelay: 0.7, KillMargin: 0.15}
 
 // Dispatcher is one on the platform.
 type Dispatcher struct {
 	Gateway *gateway.Gateway
-	Loop    *loop.Loop
+	Loop    *eventloop.Loop
 	front   *front
 	feed    *feed
 	log     zerolog.Logger
 	file    *File   // that it was started by, and that is in force but for the change log
 	timeout float64 // the longest of the groups'
 	stopBy  float64 // on the loop's clock, once told to stop
-	stop    loop.Timer
-	told    loop.Timer // tells now and then what was refused
+	stop    eventloop.Timer
+	told    eventloop.Timer // tells now and then what was refused
 	before  map[string]int
 	ended   chan error
 }
 
 // New makes a dispatcher by its configuration. Run its loop to serve.
 func New(f *File, log zerolog.Logger) (*Dispatcher, error) {
-	l, err := loop.New(0)
+	l, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{Loop: l, log: log, timeout: f.timeout(), before: map[string]int{}, ended: make(chan error, 1)}
-	o := gateway.Options{Config: f.host(), Settings: f.set, Seed: f.seed, Source: membership.Log,
-		Models: int(f.Limits.MemoryMB * (1 << 20) * modelShare / eachModel)}
-	o.Front = func(g *gateway.Gateway) (gateway.Front, error) {
+	o := gateway.Options{Config: f.host(), Settings: f.set, Seed: f.seed, Source: membership.SourceChangeLog,
+		MaxModels: int(f.Limits.MemoryMB * (1 << 20) * modelShare / eachModel)}
+	o.NewClientTransport = func(g *gateway.Gateway) (gateway.ClientTransport, error) {
 		p, err := newFront(g, f)
 		d.front = p
 		return p, err
 	}
 	d.file = f
-	d.Gateway, err = gateway.NewHost(l, o, log, func(seed uint64, s control.Settings, a control.Actions) control.Module {
+	d.Gateway, err = gateway.New(l, o, log, func(seed uint64, s control.Settings, a control.Actions) control.Module {
 		return control.New(seed, s, a)
 	})
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	d.feed = newFeed(d.Gateway, f.set.Num("rules.drain_grace", 0), d.front.refuse, d.front.workers.resume)
 	d.front.held = func() bool { return d.feed.held }
-	l.Later(func() {
+	l.Defer(func() {
 		if err := d.feed.take(&f.Known); err != nil {
 			log.Error().Err(err).Msg("the list of workers in the configuration was not taken")
 		}
@@ -83,7 +83,7 @@
 	})
 	d.stop.Fire = func() { d.Gateway.Stop(d.stopBy - l.Now()) }
 	d.told.Fire = d.tell
-	l.Later(func() { l.Start(&d.told, tellEvery) })
+	l.Defer(func() { l.Start(&d.told, tellEvery) })
 	return d, nil
 }
 
@@ -106,7 +106,7 @@
 // Reload takes a new configuration in service: the change log's address, and what it knows.
 func (d *Dispatcher) Reload(f *File) {
 	d.log.Info().Str("change_log", f.ChangeLog).Msg("configuration read anew")
-	d.Gateway.Note("reload", "", nil, nil, 0)
+	d.Gateway.RecordEvent("reload", "", nil, nil, 0)
 	if other := d.file.differs(f); len(other) > 0 {
 		d.log.Warn().Strs("fields", other).Msg("these changed too, and are in force after a restart only")
 	}
@@ -123,10 +123,10 @@
 	}
 	d.front.leaving = true
 	d.log.Info().Int("in_hand", d.Gateway.InFlight()).Msg("told to stop")
-	now, told := d.Loop.Now(), d.Loop.CameIn() // the signal may have come while the process stood still
+	now, told := d.Loop.Now(), d.Loop.ArrivedAt() // the signal may have come while the process stood still
 	plan := lifecycle.PlanStop(stopTimes, d.timeout)
-	d.stopBy = told + plan.End
-	d.Loop.Start(&d.stop, told+plan.Serve-now)
+	d.stopBy = told + plan.AnswerBy
+	d.Loop.Start(&d.stop, told+plan.ServeUntil-now)
 }
 
 // newWhenFree makes a dispatcher by the configuration at a path; while another process holds the address, which mostly is
@@ -136,15 +136,15 @@
 	retry := lifecycle.NewRetry(time.Now(), listenFor)
 	for {
 		d, err := New(f, log)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) && !lifecycle.Passing(err) {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) && !lifecycle.IsTransient(err) {
 			return d, err
 		}
 		switch sig.Await(&retry, listenGap, sig.Reload) {
-		case lifecycle.GiveUp:
+		case lifecycle.RetriesExhausted:
 			return nil, err
-		case lifecycle.Stopped:
+		case lifecycle.StopRequested:
 			return nil, nil
-		case lifecycle.Reloaded:
+		case lifecycle.ReloadRequested:
 			if n, err := ReadFile(path); err != nil {
 				log.Error().Err(err).Msg("configuration not read; the old one stays in force")
 			} else {
@@ -164,13 +164,13 @@
 			return f, err
 		}
 		retry := &whole
-		if lifecycle.Passing(err) {
+		if lifecycle.IsTransient(err) {
 			retry = &open
 		}
 		switch sig.Await(retry, openFor, nil) {
-		case lifecycle.GiveUp:
+		case lifecycle.RetriesExhausted:
 			return nil, err
-		case lifecycle.Stopped:
+		case lifecycle.StopRequested:
 			return nil, nil
 		}
 	}
@@ -216,14 +216,14 @@
 	for {
 		select {
 		case err := <-d.ended:
-			if exit := d.Gateway.Exit(); err != nil || exit.Crash != "" {
+			if exit := d.Gateway.ExitStatus(); err != nil || exit.PanicMessage != "" {
 				return app.ExitCrash
 			}
 			return app.ExitOK
 		case <-sig.Stop:
 			d.Loop.Post(d.Stop)
 		case <-sig.Dump:
-			d.Loop.Post(func() { d.Gateway.Dump("signal") })
+			d.Loop.Post(func() { d.Gateway.DumpFlightRecorder("signal") })
 		case <-sig.Reload:
 			r.retry = lifecycle.NewRetry(time.Now(), reloadFor)
 			r.read()
--- a/internal/platform/sockets_test.go
+++ b/internal/platform/sockets_test.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls/faults"
 )
 
 // System calls that fail for a moment as Linux documents lose no request, pass no deadline on that is too long, and say
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -6,21 +6,21 @@
 	"syscall"
 
 	"mastchute/control"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
-	"mastchute/internal/lines"
-	"mastchute/internal/loop"
-	"mastchute/internal/permit"
+	"mastchute/internal/rules"
 	"mastchute/internal/thrift"
+	"mastchute/internal/workerproto"
 )
 
 // workerConn is one connection to a worker. It carries many attempts.
 type workerConn struct {
 	l     *link
-	conn  *loop.Conn
+	conn  *eventloop.Conn
 	open  []*sent
 	up    bool
 	ended bool
-	timer loop.Timer // idle, or an answer that stands still
+	timer eventloop.Timer // idle, or an answer that stands still
 	part  bool
 	rests uint32 // of the connection when its timer was started
 }
@@ -34,18 +34,18 @@
 	answered := true
 	switch {
 	case r.f != nil:
-		k := r.f.Request.Client.(*call)
-		budget := permit.Budget(now, r.f.Request.NotAfter())
-		b = lines.AppendInvoke(b, name, k.group, []byte(r.f.Request.Model().Name), k.mark, budget, k.body)
-	case r.o.Kind == gateway.OrderLoad:
-		b = lines.AppendLoad(b, name, r.o.Model.Name, r.o.Copies)
-	case r.o.Kind == gateway.OrderUnload:
-		b, answered = lines.AppendUnload(b, r.o.Model.Name), false
+		k := r.f.Request.Responder.(*call)
+		budget := rules.WorkerDeadlineMillis(now, r.f.Request.Deadline())
+		b = workerproto.AppendInvoke(b, name, k.group, []byte(r.f.Request.Model().Name), k.mark, budget, k.body)
+	case r.o.Kind == gateway.CallLoadModel:
+		b = workerproto.AppendLoadModel(b, name, r.o.Model.Name, r.o.Replicas)
+	case r.o.Kind == gateway.CallUnloadModel:
+		b, answered = workerproto.AppendUnloadModel(b, r.o.Model.Name), false
 	default:
-		b = lines.AppendProbe(b, name)
+		b = workerproto.AppendProbe(b, name)
 	}
 	r.c, r.handed = c, now
-	r.from = c.conn.Queued()
+	r.from = c.conn.WrittenBytes()
 	r.to = r.from + uint64(len(b))
 	c.conn.Write(b)
 	if cap(b) <= 64<<10 {
@@ -54,24 +54,24 @@
 	if !answered {
 		o := r.o
 		r.c = nil
-		p.l.Later(func() { o.End(control.Returned) })
+		p.l.Defer(func() { o.Finish(control.Succeeded) })
 		return
 	}
 	c.open = append(c.open, r)
 	c.awaits()
 }
 
-// BeforeWrite implements loop.Writer: a message that waited, for the loop or for a worker that does not read, is looked at
+// BeforeWrite implements eventloop.WriteInterceptor: a message that waited, for the loop or for a worker that does not read, is looked at
 // once more before its first byte goes, as events may have overtaken it and its deadline is out of date.
-func (c *workerConn) BeforeWrite(conn *loop.Conn) {
-	now, sent := c.l.s.p.l.Clock(), conn.Sent()
+func (c *workerConn) BeforeWrite(conn *eventloop.Conn) {
+	now, sent := c.l.s.p.l.Clock(), conn.SentBytes()
 	for i := len(c.open) - 1; i >= 0; i-- {
 		r := c.open[i]
 		if r.to <= sent {
 			continue
 		}
 		if r.f == nil { // an order has no deadline, but it may be overtaken
-			if r.from >= sent && now-r.handed > permit.DeadlineAge && c.retract(r) {
+			if r.from >= sent && now-r.handed > rules.MaxDeadlineAge && c.retract(r) {
 				c.forget(r)
 				r.c = nil
 				c.l.enqueue(r)
@@ -79,13 +79,13 @@
 			continue
 		}
 		if r.from < sent { // its head has gone with a deadline that can't be changed any more
-			if permit.Finish(now, r.handed) != permit.Allowed {
-				c.end(control.Reset, "stale_in_part")
+			if rules.CheckRemainder(now, r.handed) != rules.Allowed {
+				c.end(control.ConnectionReset, "stale_in_part")
 				return
 			}
 			continue
 		}
-		if why := r.f.Permit(now, r.handed, r.renewed); why != permit.Allowed && c.retract(r) {
+		if why := r.f.CheckFirstByte(now, r.handed, r.renewed); why != rules.Allowed && c.retract(r) {
 			c.forget(r)
 			r.c = nil
 			c.l.overtaken(r, why)
@@ -94,8 +94,8 @@
 }
 
 // overtaken takes back a message that may not go as it is: one with an old deadline is written anew.
-func (l *link) overtaken(r *sent, why permit.Reason) {
-	if why == permit.Stale {
+func (l *link) overtaken(r *sent, why rules.Reason) {
+	if why == rules.StaleDeadline {
 		r.renewed++
 		l.enqueue(r)
 		return
@@ -105,7 +105,7 @@
 
 // retract takes back the bytes of a record of which none has gone, and tells whether it could.
 func (c *workerConn) retract(r *sent) bool {
-	if !c.conn.Retract(r.from, r.to) {
+	if !c.conn.Unwrite(r.from, r.to) {
 		return false
 	}
 	for _, o := range c.open {
@@ -134,7 +134,7 @@
 	case c.ended || !c.up:
 	case c.part:
 		if !c.timer.Pending() {
-			c.rests = c.conn.Rests()
+			c.rests = c.conn.ReadPauses()
 			l.Start(&c.timer, partAnswer)
 		}
 	case len(c.open) > 0:
@@ -149,7 +149,7 @@
 
 func (c *workerConn) expired() {
 	why := "idle"
-	if c.part && c.conn.Rests() != c.rests { // our reads failed
+	if c.part && c.conn.ReadPauses() != c.rests { // our reads failed
 		c.awaits()
 		return
 	}
@@ -157,27 +157,27 @@
 		why = "answer_stalled"
 		c.l.s.p.refuse(why)
 	}
-	c.end(control.Reset, why)
+	c.end(control.ConnectionReset, why)
 }
 
-// Opened implements loop.Handler.
-func (c *workerConn) Opened(*loop.Conn) {
+// Connected implements eventloop.Handler.
+func (c *workerConn) Connected(*eventloop.Conn) {
 	c.up = true
 	c.awaits()
 	c.l.mark()
 }
 
-// Drained implements loop.Handler: there is room again.
-func (c *workerConn) Drained(*loop.Conn) { c.l.mark() }
+// Flushed implements eventloop.Handler: there is room again.
+func (c *workerConn) Flushed(*eventloop.Conn) { c.l.mark() }
 
-// Closed implements loop.Handler.
-func (c *workerConn) Closed(_ *loop.Conn, err error) {
+// Closed implements eventloop.Handler.
+func (c *workerConn) Closed(_ *eventloop.Conn, err error) {
 	if !c.up { // it never came up: nothing was sent on it
-		c.l.s.p.g.Note("worker_connect_failed", closeReason(err), nil, c.l.w, 0)
+		c.l.s.p.g.RecordEvent("worker_connect_failed", closeReason(err), nil, c.l.w, 0)
 		c.l.failed(c, err)
 		return
 	}
-	c.end(control.Reset, closeReason(err))
+	c.end(control.ConnectionReset, closeReason(err))
 }
 
 // end ends the connection. What was handed whole to the kernel may have run; a message that was not never did.
@@ -185,9 +185,9 @@
 	if c.ended {
 		return
 	}
-	c.l.s.p.g.Note("worker_closed", why, nil, c.l.w, float64(len(c.open)))
+	c.l.s.p.g.RecordEvent("worker_closed", why, nil, c.l.w, float64(len(c.open)))
 	c.l.remove(c)
-	sentBytes := c.conn.Sent()
+	sentBytes := c.conn.SentBytes()
 	c.conn.Close()
 	open := c.open
 	c.open = nil
@@ -204,14 +204,14 @@
 	}
 }
 
-// Data implements loop.Handler.
-func (c *workerConn) Data(_ *loop.Conn, b []byte) int {
+// Received implements eventloop.Handler.
+func (c *workerConn) Received(_ *eventloop.Conn, b []byte) int {
 	used, p := 0, c.l.s.p
 	for !c.ended {
-		a, n, err := lines.Next(b[used:])
+		a, n, err := workerproto.ReadResponse(b[used:])
 		if err != nil {
 			p.refuse("answer_spoilt")
-			c.end(control.Reset, "answer_spoilt")
+			c.end(control.ConnectionReset, "answer_spoilt")
 			break
 		}
 		if n == 0 {
@@ -231,7 +231,7 @@
 }
 
 // answer takes one answer; one that nobody waits for is dropped.
-func (c *workerConn) answer(a *lines.Answer) {
+func (c *workerConn) answer(a *workerproto.Response) {
 	for i, r := range c.open {
 		if string(r.name[:r.n]) != string(a.ID) {
 			continue
@@ -243,15 +243,15 @@
 		if len(c.l.queue) > 0 {
 			c.l.mark()
 		}
-		h := gateway.Reply{Result: a.Result, Found: a.Found, Crowd: -1, Copies: a.Copies}
-		h.Fields = lines.ReadReport(a.Report, c.l.s.report, h.Report[:], thrift.Decimal)
+		h := gateway.WorkerResponse{Result: a.Result, ModelState: a.ModelState, SameModelInFlight: -1, Replicas: a.Replicas}
+		h.LoadReportLen = workerproto.ReadLoadReport(a.LoadReport, c.l.s.report, h.LoadReport[:], thrift.ParseDecimal)
 		if r.f != nil {
-			r.f.Reply = h
-			r.f.Body = append(r.f.Body[:0], a.Body...)
-			r.f.End(a.Result)
+			r.f.Response = h
+			r.f.ResponseBody = append(r.f.ResponseBody[:0], a.Body...)
+			r.f.Finish(a.Result)
 		} else {
-			r.o.Reply = h
-			r.o.End(a.Result)
+			r.o.Response = h
+			r.o.Finish(a.Result)
 		}
 		return
 	}
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -6,9 +6,9 @@
 	"strconv"
 
 	"mastchute/control"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/gateway"
-	"mastchute/internal/loop"
-	"mastchute/internal/permit"
+	"mastchute/internal/rules"
 )
 
 const (
@@ -54,24 +54,24 @@
 	pumpFn func()
 }
 
-// Link implements gateway.Front.
-func (p *front) Link(w *gateway.Worker) gateway.Link {
+// NewWorkerTransport implements gateway.Front.
+func (p *front) NewWorkerTransport(w *gateway.Worker) gateway.WorkerTransport {
 	l := &link{s: &p.workers, w: w, addr: w.Addr}
 	l.pumpFn = l.pump
 	return l
 }
 
-// Send implements gateway.Link.
-func (l *link) Send(f *gateway.Attempt) {
-	r := l.record(&f.Call)
+// SendAttempt implements gateway.Link.
+func (l *link) SendAttempt(f *gateway.Attempt) {
+	r := l.record(&f.TransportState)
 	r.f = f
-	r.n = copy(r.name[:], f.Request.Client.(*call).id[:])
+	r.n = copy(r.name[:], f.Request.Responder.(*call).id[:])
 	l.enqueue(r)
 }
 
-// Order implements gateway.Link.
-func (l *link) Order(o *gateway.Order) {
-	r := l.record(&o.Call)
+// SendControlCall implements gateway.Link.
+func (l *link) SendControlCall(o *gateway.ControlCall) {
+	r := l.record(&o.TransportState)
 	r.o = o
 	l.s.seq++
 	r.n = len(strconv.AppendUint(append(r.name[:0], 't'), l.s.seq, 36))
@@ -88,7 +88,7 @@
 func (l *link) mark() {
 	if !l.dirty {
 		l.dirty = true
-		l.s.p.l.Later(l.pumpFn)
+		l.s.p.l.Defer(l.pumpFn)
 	}
 }
 
@@ -107,7 +107,7 @@
 		}
 		r := l.queue[i]
 		r.queued = false
-		if now := l.s.p.l.Clock(); r.f != nil && r.f.Permit(now, now, 0) != permit.Allowed {
+		if now := l.s.p.l.Clock(); r.f != nil && r.f.CheckFirstByte(now, now, 0) != rules.Allowed {
 			r.end(control.NotSent)
 			continue
 		}
@@ -123,7 +123,7 @@
 func (l *link) room() *workerConn {
 	var best *workerConn
 	for _, c := range l.conns {
-		if c.up && len(c.open) < l.s.streams && c.conn.Waiting() < waitMost && (best == nil || len(c.open) < len(best.open)) {
+		if c.up && len(c.open) < l.s.streams && c.conn.UnsentBytes() < waitMost && (best == nil || len(c.open) < len(best.open)) {
 			best = c
 		}
 	}
@@ -199,7 +199,7 @@
 // nothing of the worker.
 func (l *link) failed(c *workerConn, err error) {
 	why := control.ConnectFailed
-	if local := (*loop.LocalError)(nil); errors.As(err, &local) {
+	if local := (*eventloop.LocalError)(nil); errors.As(err, &local) {
 		why = control.NotSent
 		l.s.p.refuse("no_means_to_connect")
 	}
@@ -229,29 +229,29 @@
 	}
 }
 
-// Cancel implements gateway.Link.
-func (l *link) Cancel(f *gateway.Attempt) {
-	r, _ := f.Call.(*sent)
+// CancelAttempt implements gateway.Link.
+func (l *link) CancelAttempt(f *gateway.Attempt) {
+	r, _ := f.TransportState.(*sent)
 	r.drop()
 }
 
-// Drop implements gateway.Link.
-func (l *link) Drop(o *gateway.Order) {
-	r, _ := o.Call.(*sent)
+// CancelControlCall implements gateway.Link.
+func (l *link) CancelControlCall(o *gateway.ControlCall) {
+	r, _ := o.TransportState.(*sent)
 	r.drop()
 }
 
-// Handed implements gateway.Link.
-func (l *link) Handed(f *gateway.Attempt) float64 {
-	if r, _ := f.Call.(*sent); r.left() {
+// SentAt implements gateway.Link.
+func (l *link) SentAt(f *gateway.Attempt) float64 {
+	if r, _ := f.TransportState.(*sent); r.left() {
 		return r.handed
 	}
 	return 0
 }
 
-// Whole implements gateway.Link.
-func (l *link) Whole(f *gateway.Attempt) bool {
-	r, _ := f.Call.(*sent)
+// FullySent implements gateway.Link.
+func (l *link) FullySent(f *gateway.Attempt) bool {
+	r, _ := f.TransportState.(*sent)
 	return r.left()
 }
 
@@ -264,8 +264,8 @@
 	}
 }
 
-// Abandon implements gateway.Link.
-func (l *link) Abandon() {
+// FailUnsent implements gateway.Link.
+func (l *link) FailUnsent() {
 	var all []*sent
 	all = append(all, l.queue...)
 	for _, c := range l.conns {
@@ -279,7 +279,7 @@
 		r.drop()
 		r.handed = 0
 		r.queued = true // until it is told: nothing of it has left
-		l.s.p.l.Later(func() {
+		l.s.p.l.Defer(func() {
 			if r.l == l && r.queued {
 				r.queued = false
 				r.end(control.NotSent)
@@ -300,8 +300,8 @@
 	}
 }
 
-// Conns implements gateway.Link.
-func (l *link) Conns() int { return len(l.conns) }
+// ConnectionCount implements gateway.Link.
+func (l *link) ConnectionCount() int { return len(l.conns) }
 
-// Queued implements gateway.Link.
-func (l *link) Queued() int { return len(l.queue) }
+// QueuedCount implements gateway.Link.
+func (l *link) QueuedCount() int { return len(l.queue) }
--- a/internal/wire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/binary"
@@ -63,28 +63,28 @@
 func (r *reader) result() control.Result {
 	switch c := r.u8(); c {
 	case 0:
-		return control.Returned
+		return control.Succeeded
 	case 13:
-		return control.Errored
+		return control.WorkerError
 	case 8:
-		return control.Full
+		return control.AtCapacity
 	case 4:
 		return control.TimedOut
 	case 14:
 		return control.ConnectFailed
 	case 10:
-		return control.Reset
+		return control.ConnectionReset
 	case 1:
 		return control.Cancelled
 	case 9:
 		return control.NotSent
 	case 5:
-		return control.Missed
+		return control.ModelNotLoaded
 	default:
 		if r.err == nil {
 			r.err = fmt.Errorf("unknown outcome %d at byte %d", c, r.pos()-1)
 		}
-		return control.Errored
+		return control.WorkerError
 	}
 }
 
--- a/internal/wire/reply.go
+++ b/internal/simwire/reply.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/binary"
@@ -55,7 +55,7 @@
 	return d.out
 }
 
-func (d *dispatcher) Attempt(id control.RequestID, w control.WorkerID, timeout control.Seconds) {
+func (d *dispatcher) SendAttempt(id control.RequestID, w control.WorkerID, timeout control.Seconds) {
 	o := d.do(acRelay)
 	o.u32(uint32(id))
 	o.worker(w)
@@ -70,37 +70,37 @@
 
 func (d *dispatcher) Fail(id control.RequestID) { d.do(acReportFailure).u32(uint32(id)) }
 
-func (d *dispatcher) Cancel(id control.RequestID, attempt int) {
+func (d *dispatcher) CancelAttempt(id control.RequestID, attempt int) {
 	o := d.do(acAbortAttempt)
 	o.u32(uint32(id))
 	o.u16(uint16(attempt))
 }
 
-func (d *dispatcher) Order(w control.WorkerID, m control.ModelID, copies int) {
+func (d *dispatcher) LoadModel(w control.WorkerID, m control.ModelID, copies int) {
 	o := d.do(acEnsure)
 	o.worker(w)
 	o.u64(uint64(m))
 	o.b = append(o.b, uint8(copies))
 }
 
-func (d *dispatcher) Unload(w control.WorkerID, m control.ModelID) {
+func (d *dispatcher) UnloadModel(w control.WorkerID, m control.ModelID) {
 	o := d.do(acUnmount)
 	o.worker(w)
 	o.u64(uint64(m))
 }
 
-func (d *dispatcher) Probe(w control.WorkerID)     { d.do(acPoll).worker(w) }
-func (d *dispatcher) CloseIdle(w control.WorkerID) { d.do(acDisconnect).worker(w) }
-func (d *dispatcher) FetchList()                   { d.do(acReload) }
-func (d *dispatcher) Log(text string)              { d.do(acLog).text(text) }
+func (d *dispatcher) ProbeWorker(w control.WorkerID)          { d.do(acPoll).worker(w) }
+func (d *dispatcher) CloseIdleConnections(w control.WorkerID) { d.do(acDisconnect).worker(w) }
+func (d *dispatcher) FetchWorkerList()                        { d.do(acReload) }
+func (d *dispatcher) Log(text string)                         { d.do(acLog).text(text) }
 
-func (d *dispatcher) Tell(to control.PeerID, note []byte) {
+func (d *dispatcher) SendPeerMessage(to control.PeerID, note []byte) {
 	o := d.do(acMemoTo)
 	o.u16(uint16(to))
 	o.text(string(note[:min(len(note), maxNote)]))
 }
 
-func (d *dispatcher) Subscribe(on bool) {
+func (d *dispatcher) SubscribeWorkerList(on bool) {
 	o := d.do(acTail)
 	var v byte
 	if on {
@@ -109,7 +109,7 @@
 	o.b = append(o.b, v)
 }
 
-func (d *dispatcher) Wake(after control.Seconds, t control.TimerID) {
+func (d *dispatcher) SetTimer(after control.Seconds, t control.TimerID) {
 	o := d.do(acWakeAt)
 	o.micros(after)
 	o.u32(uint32(t))
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,7 +1,7 @@
-// Package wire speaks the simulator's wire: it reads batches of events for many dispatchers, drives one
+// Package simwire speaks the simulator's wire: it reads batches of events for many dispatchers, drives one
 // control.Module for each, and writes their actions. It decides nothing and shares nothing between
 // dispatchers.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -144,7 +144,7 @@
 		if h.all[d.number] != d {
 			continue // stopped within this batch
 		}
-		d.guard(d.module.Settle)
+		d.guard(d.module.Reconcile)
 		if d.panicky != "" {
 			d.out.by(d.number)
 			d.out.begin(acGiveIn)
@@ -201,64 +201,64 @@
 		delete(h.all, number)
 	case evWithdrawn:
 		id := control.RequestID(rd.u32())
-		play(func(m control.Module) { m.Withdrawn(id) })
+		play(func(m control.Module) { m.RequestCancelled(id) })
 	case evElapsed:
 		t := control.TimerID(rd.u32())
-		play(func(m control.Module) { m.Timer(t) })
+		play(func(m control.Module) { m.TimerFired(t) })
 	case evMembers:
 		return h.members(rd, d, play)
 	case evInPlace:
-		o := control.OrderResult{Worker: rd.worker(), Model: control.ModelID(rd.u64()), Result: rd.result()}
-		o.Took = rd.micros()
-		o.Copies = int(rd.u8())
-		play(func(m control.Module) { m.Ordered(o) })
+		o := control.LoadResult{Worker: rd.worker(), Model: control.ModelID(rd.u64()), Result: rd.result()}
+		o.Duration = rd.micros()
+		o.Replicas = int(rd.u8())
+		play(func(m control.Module) { m.LoadFinished(o) })
 	case evStatusBack:
-		o := control.ProbeResult{Worker: rd.worker(), Result: rd.result(), Took: rd.micros(), Report: rd.gauge()}
-		play(func(m control.Module) { m.Probed(o) })
+		o := control.ProbeResult{Worker: rd.worker(), Result: rd.result(), Duration: rd.micros(), LoadReport: rd.gauge()}
+		play(func(m control.Module) { m.ProbeFinished(o) })
 	case evHeaders:
 		id, took, leg, w := control.RequestID(rd.u32()), rd.micros(), int(rd.u16()), rd.worker()
-		play(func(m control.Module) { m.Streaming(id, leg, w, took) })
+		play(func(m control.Module) { m.ResponseStarted(id, leg, w, took) })
 	case evQuery:
 		q := control.Request{ID: control.RequestID(rd.u32()), MemoryMB: rd.f32()}
 		q.Tenant = control.TenantID(rd.u16())
 		q.Model = control.ModelID(rd.u64())
 		work := rd.micros()
-		q.Lanes = rd.f32()
+		q.Concurrency = rd.f32()
 		end := rd.u64()
 		opts := rd.u16()
-		q.Load = rd.f32() / 1e3
+		q.LoadTimeHint = rd.f32() / 1e3
 		q.Group = control.GroupID(rd.u16())
-		q.Repeat = opts&2 != 0
+		q.ClientRetry = opts&2 != 0
 		if opts&1 != 0 {
-			q.Work = work
+			q.WorkHint = work
 		}
-		q.NotAfter = math.Inf(1)
+		q.Deadline = math.Inf(1)
 		if end != 0 && d != nil {
-			q.NotAfter = d.span(end)
+			q.Deadline = d.span(end)
 		}
-		play(func(m control.Module) { m.Request(q) })
+		play(func(m control.Module) { m.RequestArrived(q) })
 	case evPeerData:
 		from := control.PeerID(rd.u16())
 		note := rd.bytes(int(rd.u16()))
-		play(func(m control.Module) { m.Told(from, note) })
+		play(func(m control.Module) { m.PeerMessageReceived(from, note) })
 	case evFinished:
-		o := control.Outcome{ID: control.RequestID(rd.u32()), Took: rd.micros(), Worker: rd.worker()}
+		o := control.AttemptResult{ID: control.RequestID(rd.u32()), Duration: rd.micros(), Worker: rd.worker()}
 		o.Attempt = int(rd.u16())
 		note := rd.u8()
-		o.Final = rd.u8() != 0
+		o.RequestAnswered = rd.u8() != 0
 		o.Result = rd.result()
-		o.Found = control.Found(note & 7)
-		o.Crowd = int(note >> 3)
-		o.Report = rd.gauge()
-		play(func(m control.Module) { m.Outcome(o) })
+		o.ModelState = control.ModelState(note & 7)
+		o.SameModelInFlight = int(note >> 3)
+		o.LoadReport = rd.gauge()
+		play(func(m control.Module) { m.AttemptFinished(o) })
 	default:
 		return fmt.Errorf("unknown event code %d", code)
 	}
 	return rd.err
 }
 
-var listKinds = map[uint8]control.ListKind{
-	0: control.ListChanges, 1: control.ListFailed, 3: control.ListCached, 4: control.ListComplete,
+var listKinds = map[uint8]control.WorkerListKind{
+	0: control.ListDelta, 1: control.ListFailed, 3: control.ListCached, 4: control.ListSnapshot,
 }
 
 // members decodes a list of workers.
@@ -282,13 +282,13 @@
 		}
 		w.State = control.WorkerState(state)
 		w.Weight = rd.f32()
-		w.Start = math.Inf(-1)
+		w.StartedAt = math.Inf(-1)
 		if at := rd.u64(); at != 0 && d != nil {
-			w.Start = d.span(at)
+			w.StartedAt = d.span(at)
 		}
 		list = append(list, w)
 	}
-	play(func(m control.Module) { m.Workers(kind, version, list) })
+	play(func(m control.Module) { m.UpdateWorkers(kind, version, list) })
 	return rd.err
 }
 
@@ -297,7 +297,7 @@
 	if !d.turn {
 		d.turn = true
 		h.touched = append(h.touched, d)
-		d.guard(func() { d.module.At(d.span(clock)) })
+		d.guard(func() { d.module.SetNow(d.span(clock)) })
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -18,22 +18,22 @@
 	todo func(control.Actions)
 }
 
-func (e *echo) say(f string, a ...any)          { *e.log = append(*e.log, fmt.Sprintf(f, a...)) }
-func (e *echo) At(now control.Seconds)          { e.say("at %.6f", now) }
-func (e *echo) Request(q control.Request)       { e.say("%+v", q) }
-func (e *echo) Outcome(o control.Outcome)       { e.say("%+v", o) }
-func (e *echo) Withdrawn(id control.RequestID)  { e.say("withdrawn %x", id) }
-func (e *echo) Ordered(o control.OrderResult)   { e.say("%+v", o) }
-func (e *echo) Probed(o control.ProbeResult)    { e.say("%+v", o) }
-func (e *echo) Told(p control.PeerID, n []byte) { e.say("told %d %s", p, n) }
-func (e *echo) Timer(t control.TimerID)         { e.say("timer %d", t) }
-func (e *echo) Streaming(i control.RequestID, f int, _ control.WorkerID, _ float64) {
+func (e *echo) say(f string, a ...any)                         { *e.log = append(*e.log, fmt.Sprintf(f, a...)) }
+func (e *echo) SetNow(now control.Seconds)                     { e.say("at %.6f", now) }
+func (e *echo) RequestArrived(q control.Request)               { e.say("%+v", q) }
+func (e *echo) AttemptFinished(o control.AttemptResult)        { e.say("%+v", o) }
+func (e *echo) RequestCancelled(id control.RequestID)          { e.say("withdrawn %x", id) }
+func (e *echo) LoadFinished(o control.LoadResult)              { e.say("%+v", o) }
+func (e *echo) ProbeFinished(o control.ProbeResult)            { e.say("%+v", o) }
+func (e *echo) PeerMessageReceived(p control.PeerID, n []byte) { e.say("told %d %s", p, n) }
+func (e *echo) TimerFired(t control.TimerID)                   { e.say("timer %d", t) }
+func (e *echo) ResponseStarted(i control.RequestID, f int, _ control.WorkerID, _ float64) {
 	e.say("stream %x.%d", i, f)
 }
-func (e *echo) Workers(k control.ListKind, v uint32, l []control.WorkerInfo) {
+func (e *echo) UpdateWorkers(k control.WorkerListKind, v uint32, l []control.WorkerInfo) {
 	e.say("list %d %d %+v", k, v, l)
 }
-func (e *echo) Settle() {
+func (e *echo) Reconcile() {
 	if e.todo != nil {
 		e.todo(e.act)
 	}
@@ -75,20 +75,20 @@
 
 func TestEvents(t *testing.T) {
 	for _, c := range []struct{ record, want string }{
-		{query, "{ID:1564119492 Model:534015773185 Group:0 Tenant:0 MemoryMB:384 Lanes:2 Work:0.012 Load:0.9 NotAfter:0.24 Repeat:false}"},
+		{query, "{ID:1564119492 Model:534015773185 Group:0 Tenant:0 MemoryMB:384 Concurrency:2 WorkHint:0.012 LoadTimeHint:0.9 Deadline:0.24 ClientRetry:false}"},
 		{"0500 4d000000", "timer 77"},
 		{"0200 192b6f0e", "withdrawn e6f2b19"},
 		{"0b00 c4913a5d 44480000 0a124a07 5b1b 0000 00 01 00 02 0000e04000004040",
-			"{ID:1564119492 Attempt:0 Worker:30077778268682 Took:0.0185 Result:0 Found:0 Crowd:0 Final:true Report:[7 3]}"},
+			"{ID:1564119492 Attempt:0 Worker:30077778268682 Duration:0.0185 Result:0 ModelState:0 SameModelInFlight:0 RequestAnswered:true LoadReport:[7 3]}"},
 		{"0600 0a9011f2 841b 010ad2557c000000 00 00c40900 01",
-			"{Worker:30257810870282 Model:534015773185 Result:0 Took:0.64 Copies:1}"},
-		{"0700 0a9011f2 841b 00 10270000 00", "{Worker:30257810870282 Result:0 Took:0.01 Report:[]}"},
+			"{Worker:30257810870282 Model:534015773185 Result:0 Duration:0.64 Replicas:1}"},
+		{"0700 0a9011f2 841b 00 10270000 00", "{Worker:30257810870282 Result:0 Duration:0.01 LoadReport:[]}"},
 		{"0800 c4913a5d 10270000 0200 0a9011f2 841b", "stream 5d3a91c4.2"},
 		{"0a00 0100 0400 68692037", "told 1 hi 7"},
 		{"0400 03 29000000 02000000 0a124a07 5b1b 0000 00 0000 01 0000803f 0000000000000000" +
 			"0a9011f2 841b 0000 00 0000 01 0000c03f 20145d0000000000",
-			"list 2 41 [{ID:30077778268682 Zone:0 Kind:0 Cell:0 State:1 Weight:1 Start:-Inf} " +
-				"{ID:30257810870282 Zone:0 Kind:0 Cell:0 State:1 Weight:1.5 Start:-2.31225}]"},
+			"list 2 41 [{ID:30077778268682 Zone:0 Kind:0 Cell:0 State:1 Weight:1 StartedAt:-Inf} " +
+				"{ID:30257810870282 Zone:0 Kind:0 Cell:0 State:1 Weight:1.5 StartedAt:-2.31225}]"},
 	} {
 		_, log, err := play(nil, frame(3, begin+c.record))
 		if err != nil || len(log) != 3 || log[2] != c.want {
@@ -103,14 +103,14 @@
 		todo func(control.Actions)
 		want string
 	}{
-		{func(a control.Actions) { a.Attempt(0x5d3a91c4, w, 0.08); a.Wake(0.5, 77) },
+		{func(a control.Actions) { a.SendAttempt(0x5d3a91c4, w, 0.08); a.SetTimer(0.5, 77) },
 			"4d000300 4a00c4913a5d0a124a075b1b80380100 450020a107004d000000"},
 		{func(a control.Actions) { a.Log("two servers known") }, "4d000300 4c0011 0074776f2073657276657273206b6e6f776e"},
-		{func(a control.Actions) { a.Tell(control.AllPeers, []byte("hi 7")) }, "4d000300 4f00ffff040068692037"},
-		{func(a control.Actions) { a.Order(w, 0x7c55d20a01, 1) }, "4d000300 48000a124a075b1b010ad2557c00000001"},
+		{func(a control.Actions) { a.SendPeerMessage(control.AllPeers, []byte("hi 7")) }, "4d000300 4f00ffff040068692037"},
+		{func(a control.Actions) { a.LoadModel(w, 0x7c55d20a01, 1) }, "4d000300 48000a124a075b1b010ad2557c00000001"},
 		{func(a control.Actions) { a.Shed(1, 0.25); a.Fail(2) }, "4d000300 46000100000090d00300 420002000000"},
-		{func(a control.Actions) { a.Cancel(1, 2); a.Subscribe(true); a.FetchList() }, "4d000300 4300010000000200 440001 4900"},
-		{func(a control.Actions) { a.Unload(w, 1); a.Probe(w); a.CloseIdle(w) },
+		{func(a control.Actions) { a.CancelAttempt(1, 2); a.SubscribeWorkerList(true); a.FetchWorkerList() }, "4d000300 4300010000000200 440001 4900"},
+		{func(a control.Actions) { a.UnloadModel(w, 1); a.ProbeWorker(w); a.CloseIdleConnections(w) },
 			"4d000300 41000a124a075b1b0100000000000000 47000a124a075b1b 4b000a124a075b1b"},
 		{func(control.Actions) { panic("odd") },
 			"4d000300 4e0019006465636973696f6e20636f6465206661696c65643a206f6464"},
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls/faults"
 )
 
 // Kind names a kind of trouble.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls/faults"
 )
 
 const (
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys/faults"
+	"mastchute/internal/syscalls/faults"
 )
 
 const (
--- a/internal/sys/faults/faults.go
+++ b/internal/syscalls/faults/faults.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"mastchute/internal/sys"
+	"mastchute/internal/syscalls"
 )
 
 // Call names a system call.
@@ -37,7 +37,7 @@
 // Kernel wraps another one. Fail is asked before each call; an error it returns is the call's. Short, where set, is asked
 // for the most bytes that a read or a write may take. Offset is what the wall clock is off by. All may be nil.
 type Kernel struct {
-	sys.Kernel
+	syscalls.Kernel
 	Fail   func(c Call, fd int) error
 	Short  func(c Call, fd, n int) int
 	Offset func() time.Duration
@@ -199,12 +199,12 @@
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
 		return fmt.Errorf("plan of faults: %w", err)
 	}
-	sys.Default = p.Kernel(sys.Linux{})
+	syscalls.Default = p.Kernel(syscalls.Linux{})
 	return nil
 }
 
 // Kernel returns a kernel that fails as planned.
-func (p Plan) Kernel(under sys.Kernel) *Kernel {
+func (p Plan) Kernel(under syscalls.Kernel) *Kernel {
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(p.Seed, 0))
 	at := func() float64 { return float64(MonotonicNow()-p.Origin) / 1e9 }
--- a/internal/sys/sys.go
+++ b/internal/syscalls/sys.go
@@ -1,6 +1,6 @@
-// Package sys is the seam between the program and Linux: the system calls of the event loop, the wall clock, and the
+// Package syscalls is the seam between the program and Linux: the system calls of the event loop, the wall clock, and the
 // reading of configuration files. Tests and the fault soak put a Kernel of their own in its place.
-package sys
+package syscalls
 
 import (
 	"os"
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -8,49 +8,49 @@
 	verbCancel = "cancelRequest"
 	verbAlive  = "alive"
 
-	MostBody  = 16 << 10          // bytes of a request's body
-	MostFrame = MostBody + 48<<10 // with room for its fields
-	fieldsMax = 64                // fields of a request, unknown ones included
-	spanMost  = 3600.0            // s, the longest time a client may wait
-	workMost  = 1e6               // s of work or of a load
-	sizeMost  = 1e9               // MB, and lanes
-	markMost  = 64                // bytes of a mark
+	MaxBodyBytes  = 16 << 10              // bytes of a request's body
+	MaxFrameBytes = MaxBodyBytes + 48<<10 // with room for its fields
+	fieldsMax     = 64                    // fields of a request, unknown ones included
+	spanMost      = 3600.0                // s, the longest time a client may wait
+	workMost      = 1e6                   // s of work or of a load
+	sizeMost      = 1e9                   // MB, and lanes
+	markMost      = 64                    // bytes of a mark
 )
 
-// Verb says what a client calls.
-type Verb uint8
+// Method says what a client calls.
+type Method uint8
 
 const (
-	Unknown Verb = iota
+	Unknown Method = iota
 	Infer
 	Cancel
 	Alive
 )
 
-// Call is a message of a client. Where Fault is set the message could be read but its content can't be used: it is to be
+// Message is a message of a client. Where Fault is set the message could be read but its content can't be used: it is to be
 // answered as failed, under Seq. What it holds points into the frame.
-type Call struct {
-	Verb   Verb
+type Message struct {
+	Method Method
 	Seq    int32
 	Target int32 // Cancel: the number of the call taken back
 	Fault  error
 
-	ID       []byte  // of the request, 16 hex digits
-	Group    []byte  // model group
-	Model    []byte  // 16 hex digits
-	Mark     []byte  // what repeats of the request share; empty where not told
-	Tenant   []byte  // empty where not told
-	Repeat   bool    // the client asked before
-	Timeout  float64 // s from when it was sent
-	Work     float64 // s; 0 where not told, as the rest
-	MemoryMB float64
-	Lanes    float64
-	Load     float64 // s
-	Body     []byte
+	ID             []byte  // of the request, 16 hex digits
+	Group          []byte  // model group
+	Model          []byte  // 16 hex digits
+	IdempotencyKey []byte  // what repeats of the request share; empty where not told
+	Tenant         []byte  // empty where not told
+	ClientRetry    bool    // the client asked before
+	Timeout        float64 // s from when it was sent
+	WorkHint       float64 // s; 0 where not told, as the rest
+	MemoryMB       float64
+	Concurrency    float64
+	LoadTimeHint   float64 // s
+	Body           []byte
 }
 
-// Read reads the message of a frame. An error means that the connection can't go on.
-func Read(payload []byte) (c Call, err error) {
+// ReadMessage reads the message of a frame. An error means that the connection can't go on.
+func ReadMessage(payload []byte) (c Message, err error) {
 	r := reader{b: payload}
 	word := uint32(r.i32())
 	if r.err == nil && (word&0xffff0000 != version || word&0xff00 != 0) {
@@ -66,10 +66,10 @@
 	case r.err != nil:
 		return c, r.err
 	case string(name) == verbInfer && kind == KindCall:
-		c.Verb = Infer
+		c.Method = Infer
 		c.infer(&r)
 	case string(name) == verbCancel && (kind == KindOneway || kind == KindCall):
-		c.Verb = Cancel
+		c.Method = Cancel
 		seen := false
 		for {
 			k, id := r.field()
@@ -87,7 +87,7 @@
 			c.fault(errWord)
 		}
 	case string(name) == verbAlive && kind == KindCall:
-		c.Verb = Alive
+		c.Method = Alive
 		r.skip(typeStruct, 0)
 	case kind == KindCall || kind == KindOneway:
 		r.skip(typeStruct, 0)
@@ -104,13 +104,13 @@
 	return c, nil
 }
 
-func (c *Call) fault(err error) {
+func (c *Message) fault(err error) {
 	if c.Fault == nil {
 		c.Fault = err
 	}
 }
 
-func (c *Call) infer(r *reader) {
+func (c *Message) infer(r *reader) {
 	fields, body := false, false
 	for r.err == nil {
 		k, id := r.field()
@@ -148,7 +148,7 @@
 			r.skip(k, 0)
 		}
 	}
-	if !body || len(c.Body) > MostBody || len(c.ID) != 16 || len(c.Model) != 16 || len(c.Group) == 0 {
+	if !body || len(c.Body) > MaxBodyBytes || len(c.ID) != 16 || len(c.Model) != 16 || len(c.Group) == 0 {
 		c.fault(errWord)
 	}
 	if c.Timeout <= 0 {
@@ -157,7 +157,7 @@
 }
 
 // field takes one field of a request; seen has a bit for each known one so far.
-func (c *Call) field(name, value []byte, seen int) int {
+func (c *Message) field(name, value []byte, seen int) int {
 	bit := 0
 	switch string(name) {
 	case "route":
@@ -173,7 +173,7 @@
 		c.Timeout = c.number(value, 1e-3, spanMost)
 	case "nonce":
 		bit = 8
-		if c.Mark = value; len(value) == 0 || len(value) > markMost || !plain(value) {
+		if c.IdempotencyKey = value; len(value) == 0 || len(value) > markMost || !plain(value) {
 			c.fault(errWord)
 		}
 	case "entity":
@@ -183,7 +183,7 @@
 		}
 	case "weight":
 		bit = 32
-		c.Work = c.number(value, 1e-3, workMost)
+		c.WorkHint = c.number(value, 1e-3, workMost)
 	case "extras":
 		bit = 64
 		c.extras(value)
@@ -192,7 +192,7 @@
 		c.Tenant = value
 	case "redo":
 		bit = 256
-		c.Repeat = len(value) > 0 && string(value) != "0" && string(value) != "false"
+		c.ClientRetry = len(value) > 0 && string(value) != "0" && string(value) != "false"
 	}
 	if seen&bit != 0 {
 		c.fault(errTwice)
@@ -201,7 +201,7 @@
 }
 
 // extras reads name:value;name:value.
-func (c *Call) extras(b []byte) {
+func (c *Message) extras(b []byte) {
 	for len(b) > 0 {
 		i := 0
 		for i < len(b) && b[i] != ';' {
@@ -221,16 +221,16 @@
 		case "memory_mb":
 			c.MemoryMB = c.number(v, 1, sizeMost)
 		case "lanes":
-			c.Lanes = c.number(v, 1, sizeMost)
+			c.Concurrency = c.number(v, 1, sizeMost)
 		case "load_ms":
-			c.Load = c.number(v, 1e-3, workMost)
+			c.LoadTimeHint = c.number(v, 1e-3, workMost)
 		}
 	}
 }
 
 // number reads a decimal that is not negative, times a unit, up to a limit.
-func (c *Call) number(b []byte, unit, most float64) float64 {
-	v, ok := Decimal(b)
+func (c *Message) number(b []byte, unit, most float64) float64 {
+	v, ok := ParseDecimal(b)
 	if v *= unit; !ok || !(v <= most) {
 		c.fault(errNumber)
 		return 0
@@ -238,8 +238,8 @@
 	return v
 }
 
-// Decimal reads a number that is not negative: digits with an optional point and an optional exponent, 32 bytes at most.
-func Decimal(b []byte) (v float64, ok bool) {
+// ParseDecimal reads a number that is not negative: digits with an optional point and an optional exponent, 32 bytes at most.
+func ParseDecimal(b []byte) (v float64, ok bool) {
 	if len(b) == 0 || len(b) > 32 {
 		return 0, false
 	}
@@ -320,8 +320,8 @@
 	return end(b, at)
 }
 
-// AppendGood appends the answer to Alive.
-func AppendGood(b []byte, seq int32, good bool) []byte {
+// AppendAlive appends the answer to Alive.
+func AppendAlive(b []byte, seq int32, good bool) []byte {
 	b, at := begin(b, verbAlive, KindReply, seq)
 	b = appendAnswer(b, nil, good)
 	return end(b, at)
@@ -368,8 +368,8 @@
 	return end(append(b, typeStop, typeStop), at)
 }
 
-// AppendFault appends an application exception: the message could not be used.
-func AppendFault(b []byte, seq int32, why string) []byte {
+// AppendException appends an application exception: the message could not be used.
+func AppendException(b []byte, seq int32, why string) []byte {
 	const protocolError = 7
 	b, at := begin(b, verbInfer, KindException, seq)
 	b = appendField(b, typeString, 1)
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -51,9 +51,9 @@
 	errWord    = errors.New("a word is missing or malformed")
 )
 
-// Frame returns the payload of the first frame of b and how many bytes it takes; 0 means that it is not whole yet. The
+// ReadFrame returns the payload of the first frame of b and how many bytes it takes; 0 means that it is not whole yet. The
 // length is judged as soon as it is there.
-func Frame(b []byte, most int) (payload []byte, n int, err error) {
+func ReadFrame(b []byte, most int) (payload []byte, n int, err error) {
 	if len(b) < frameHead {
 		return nil, 0, nil
 	}
--- a/internal/lines/lines.go
+++ b/internal/workerproto/lines.go
@@ -1,7 +1,7 @@
-// Package lines is the platform's worker protocol on byte slices: lines of words that end in CR LF, and, where the last
+// Package workerproto is the platform's worker protocol on byte slices: lines of words that end in CR LF, and, where the last
 // word is a length, that many bytes and another CR LF. It does no I/O and has no clock; what it returns points into what
 // it was given. No line and no body is taken beyond its bound.
-package lines
+package workerproto
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 )
 
 const (
-	MostLine = 1 << 10   // bytes of an answer's line
-	MostBody = 256 << 10 // bytes of an answer's body
+	MaxLineBytes = 1 << 10   // bytes of an answer's line
+	MaxBodyBytes = 256 << 10 // bytes of an answer's body
 )
 
 // The faults of an answer: the connection can't go on.
@@ -22,21 +22,21 @@
 	errEnd    = errors.New("an answer does not end where its length says")
 )
 
-// Answer is one answer of a worker.
-type Answer struct {
-	ID     []byte
-	Result control.Result
-	Found  control.Found
-	Copies int
-	Report []byte // load report, for ReadReport; empty where not told
-	Body   []byte
+// Response is one answer of a worker.
+type Response struct {
+	ID         []byte
+	Result     control.Result
+	ModelState control.ModelState
+	Replicas   int
+	LoadReport []byte // load report, for ReadReport; empty where not told
+	Body       []byte
 }
 
-// Next reads the first answer of b and how many bytes it takes; 0 means that it is not whole yet. What is malformed or
+// ReadResponse reads the first answer of b and how many bytes it takes; 0 means that it is not whole yet. What is malformed or
 // beyond its bound is an error as soon as that shows.
-func Next(b []byte) (a Answer, n int, err error) {
+func ReadResponse(b []byte) (a Response, n int, err error) {
 	end := -1
-	for i := 0; i < len(b) && i <= MostLine; i++ {
+	for i := 0; i < len(b) && i <= MaxLineBytes; i++ {
 		if c := b[i]; c == '\n' {
 			end = i
 			break
@@ -45,7 +45,7 @@
 		}
 	}
 	if end < 0 {
-		if len(b) > MostLine {
+		if len(b) > MaxLineBytes {
 			return a, 0, errLine
 		}
 		return a, 0, nil
@@ -65,7 +65,7 @@
 		return a, 0, errLine
 	}
 	size, ok := decimal(length)
-	if !ok || size > MostBody {
+	if !ok || size > MaxBodyBytes {
 		return a, 0, errLength
 	}
 	rest := b[end+1:]
@@ -114,13 +114,13 @@
 func result(w []byte) (control.Result, bool) {
 	switch string(w) {
 	case "served", "green":
-		return control.Returned, true
+		return control.Succeeded, true
 	case "not_here":
-		return control.Missed, true
+		return control.ModelNotLoaded, true
 	case "overload":
-		return control.Full, true
+		return control.AtCapacity, true
 	case "crashed", "red":
-		return control.Errored, true
+		return control.WorkerError, true
 	case "nobody": // the request was over already: it never ran
 		return control.NotSent, true
 	}
@@ -128,7 +128,7 @@
 }
 
 // fields reads name=value,name=value or a dash.
-func (a *Answer) fields(b []byte) bool {
+func (a *Response) fields(b []byte) bool {
 	if string(b) == "-" {
 		return true
 	}
@@ -149,30 +149,30 @@
 		case "detail":
 			switch string(value) {
 			case "resident":
-				a.Found = control.FoundWarm
+				a.ModelState = control.ModelWarm
 			case "booted":
-				a.Found = control.BeganLoad
+				a.ModelState = control.LoadStarted
 			case "rode":
-				a.Found = control.AwaitedLoad
+				a.ModelState = control.LoadAwaited
 			case "boot_error":
-				a.Found = control.LoadFailed
+				a.ModelState = control.LoadFailed
 			}
 		case "replicas":
 			n, ok := decimal(value)
 			if !ok {
 				return false
 			}
-			a.Copies = n
+			a.Replicas = n
 		case "use":
-			a.Report = value
+			a.LoadReport = value
 		}
 	}
 	return true
 }
 
-// ReadReport reads name:value;name:value into out, in the order of names. It returns how many there are: 0 unless each
+// ReadLoadReport reads name:value;name:value into out, in the order of names. It returns how many there are: 0 unless each
 // was told once as a number.
-func ReadReport(b []byte, names []string, out []float64, number func([]byte) (float64, bool)) int {
+func ReadLoadReport(b []byte, names []string, out []float64, number func([]byte) (float64, bool)) int {
 	seen := 0
 	for len(b) > 0 && len(names) <= len(out) {
 		i, colon := 0, -1
@@ -235,8 +235,8 @@
 // AppendPing appends a question that any worker answers at once.
 func AppendPing(b, tag []byte) []byte { return appendLine(b, "alive ", tag) }
 
-// AppendUnload appends an order to unload the idle copies of a model; no answer comes.
-func AppendUnload(b []byte, model string) []byte { return appendLine(b, "evict ", []byte(model)) }
+// AppendUnloadModel appends an order to unload the idle copies of a model; no answer comes.
+func AppendUnloadModel(b []byte, model string) []byte { return appendLine(b, "evict ", []byte(model)) }
 
 func appendLine(b []byte, verb string, arg []byte) []byte {
 	b = append(b, verb...)
@@ -244,8 +244,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLoad appends an order to hold copies of a model.
-func AppendLoad(b, tag []byte, model string, copies int) []byte {
+// AppendLoadModel appends an order to hold copies of a model.
+func AppendLoadModel(b, tag []byte, model string, copies int) []byte {
 	b = append(b, "prewarm "...)
 	b = append(b, tag...)
 	b = append(b, " path="...)
--- a/internal/lines/lines_test.go
+++ b/internal/workerproto/lines_test.go
@@ -1,4 +1,4 @@
-package lines
+package workerproto
 
 import (
 	"bytes"
@@ -35,14 +35,14 @@
 	} {
 		b := []byte(c.text + "next")
 		for i := range len(c.text) { // cut anywhere it is not whole, and never a fault
-			if _, n, err := Next(b[:i]); n != 0 || err != nil {
+			if _, n, err := ReadResponse(b[:i]); n != 0 || err != nil {
 				t.Errorf("%q cut at %d: %d %v", c.text, i, n, err)
 			}
 		}
-		a, n, err := Next(b)
+		a, n, err := ReadResponse(b)
 		report := make([]float64, 2)
-		k := ReadReport(a.Report, []string{"inflight", "queue"}, report, number)
-		got := fmt.Sprintf("%s %d %d %d %v %s", a.ID, a.Result, a.Found, a.Copies, report[:k], a.Body)
+		k := ReadLoadReport(a.LoadReport, []string{"inflight", "queue"}, report, number)
+		got := fmt.Sprintf("%s %d %d %d %v %s", a.ID, a.Result, a.ModelState, a.Replicas, report[:k], a.Body)
 		if err != nil || n != len(c.text) || got != c.want {
 			t.Errorf("%q: %q %d %v, want %q", c.text, got, n, err, c.want)
 		}
@@ -52,8 +52,8 @@
 func TestSpoiltAnswers(t *testing.T) {
 	for _, text := range []string{"\r\n", "\n", " a served - 0\r\n", "a1 served - 0\n", "a1 served 0\r\n", "a1 served - -1\r\n", "a1 served - 3000000000\r\n",
 		"a1 served - 300000\r\n", "a1 served - 0x1\r\n", "a1 served - 4\r\nwellx\r\n", "a1 served - 4\r\nwell\rx", "a1 returned - 0\r\n", "a1 served =x 0\r\n",
-		"a1 served x 0\r\n", "a1 served replicas=x 0\r\n", "a\x001 served", "\x80\xff", strings.Repeat("a", MostLine+1), "a1\r served - 0\r\n\r\n"} {
-		if _, n, err := Next([]byte(text)); err == nil {
+		"a1 served x 0\r\n", "a1 served replicas=x 0\r\n", "a\x001 served", "\x80\xff", strings.Repeat("a", MaxLineBytes+1), "a1\r served - 0\r\n\r\n"} {
+		if _, n, err := ReadResponse([]byte(text)); err == nil {
 			t.Errorf("%q is taken, %d bytes", text, n)
 		}
 	}
@@ -68,8 +68,8 @@
 		{string(AppendCancel(nil, id)), "abort 9b1f03aa5c7e2d41\r\n"},
 		{string(AppendProbe(nil, []byte("t1"))), "gauges t1\r\n"},
 		{string(AppendPing(nil, []byte("t1"))), "alive t1\r\n"},
-		{string(AppendUnload(nil, "7f3a")), "evict 7f3a\r\n"},
-		{string(AppendLoad(nil, []byte("t1"), "7f3a", 2)), "prewarm t1 path=7f3a,replicas=2\r\n"},
+		{string(AppendUnloadModel(nil, "7f3a")), "evict 7f3a\r\n"},
+		{string(AppendLoadModel(nil, []byte("t1"), "7f3a", 2)), "prewarm t1 path=7f3a,replicas=2\r\n"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%q, want %q", c.got, c.want)
@@ -82,15 +82,15 @@
 	f.Add([]byte("a1 served - 3000000000\r\n"))
 	f.Add([]byte("a1 overload - 0\r\n\r\nb2 served"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, n, err := Next(b)
+		a, n, err := ReadResponse(b)
 		if n == 0 {
 			return
 		}
-		if err != nil || n > len(b) || len(a.ID) == 0 || len(a.Body) > MostBody || bytes.ContainsAny(a.ID, " \r\n") || a.Result > control.Missed {
+		if err != nil || n > len(b) || len(a.ID) == 0 || len(a.Body) > MaxBodyBytes || bytes.ContainsAny(a.ID, " \r\n") || a.Result > control.ModelNotLoaded {
 			t.Fatalf("%+v %d %v", a, n, err)
 		}
 		// What follows makes no difference, and what is taken ends as an answer does.
-		if c, m, err := Next(append(b[:n:n], "x y"...)); err != nil || m != n || !bytes.Equal(c.Body, a.Body) || !bytes.HasSuffix(b[:n], []byte("\r\n")) {
+		if c, m, err := ReadResponse(append(b[:n:n], "x y"...)); err != nil || m != n || !bytes.Equal(c.Body, a.Body) || !bytes.HasSuffix(b[:n], []byte("\r\n")) {
 			t.Fatalf("%+v %d %v, was %+v %d", c, m, err, a, n)
 		}
 	})
