--- a/control/admission.go
+++ b/control/admission.go
@@ -59,14 +59,14 @@
 func (d *Dispatcher) exhausted(r *request) bool {
 	a := r.mayHaveRun()
 	return r.pending == 0 && (r.attempted >= d.maxAttempts ||
-		a != nil && r.group.effect != "retriable" && !d.withinDedupWindow(r, a))
+		a != nil && r.group.effect != Retriable && !d.withinDedupWindow(r, a))
 }
 
 // mayShed tells whether the client may be told that trying again is harmless (rule 2).
 func (d *Dispatcher) mayShed(r *request) bool {
 	a := r.mayHaveRun()
-	return !r.streaming && (a == nil || r.group.effect == "retriable" ||
-		r.group.scope == "all" && d.withinDedupWindow(r, a))
+	return !r.streaming && (a == nil || r.group.effect == Retriable ||
+		r.group.scope == ScopeAll && d.withinDedupWindow(r, a))
 }
 
 // giveUp answers a request for good, at once.
--- a/control/coldstart.go
+++ b/control/coldstart.go
@@ -33,7 +33,7 @@
 	}
 	for _, h := range [2]*health{&w.health, &w.classes[r.class]} {
 		if d.now < h.fullUntil || h.ejected && (h != &w.health || 2*d.ejectedWorkers <= d.readyWorkers) &&
-			(d.now < h.nextAttemptAt || r.group.effect == "non-retriable" && h.rampRate <= rampStart) {
+			(d.now < h.nextAttemptAt || r.group.effect == NonRetriable && h.rampRate <= rampStart) {
 			return false
 		}
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -68,10 +68,10 @@
 	d := &Dispatcher{settings: s, settingErrors: append(r.wrong, r.unknown...), actions: a, rnd: newRandom(seed)}
 	d.models, d.workersByID, d.inFlight.byID = map[ModelID]*model{}, map[WorkerID]*worker{}, map[RequestID]int{}
 	d.retryTokens, d.retrySuccess, d.admittingShare, d.runTime = retryTokensMax, 1, 1, firstRun
-	if d.subscribeBackoff = subscribeBackoffMin; s.discovery != "ask" {
+	if d.subscribeBackoff = subscribeBackoffMin; s.discovery != DiscoverySubscribe {
 		d.subscribeAt = never
 	}
-	d.loadOrders = s.mayOrder && s.onMiss == "miss"
+	d.loadOrders = s.mayOrder && s.onMiss == MissRejects
 	d.probesMax = int(math.Min(probeCount, probeBudget/math.Max(shareMin*probeBudget, s.probePrice)))
 	for i, field := range s.reportFields {
 		if field == "inflight" || field == "queue" {
--- a/control/retry.go
+++ b/control/retry.go
@@ -12,13 +12,13 @@
 		return false
 	}
 	a, scope := r.mayHaveRun(), r.group.scope // the earliest one binds; the later ones kept to its scope
-	return a == nil || r.group.effect == "retriable" || d.withinDedupWindow(r, a) && (scope == "all" ||
-		a.worker.Zone == w.Zone && (scope == "zone" || scope == "cell" && a.worker.Cell == w.Cell))
+	return a == nil || r.group.effect == Retriable || d.withinDedupWindow(r, a) && (scope == ScopeAll ||
+		a.worker.Zone == w.Zone && (scope == ScopeZone || scope == ScopeCell && a.worker.Cell == w.Cell))
 }
 
 // withinDedupWindow tells whether a repeat of an attempt that may have run is still dropped within its scope.
 func (d *Dispatcher) withinDedupWindow(r *request, a *attempt) bool {
-	return r.group.effect == "deduped" && d.now <= a.sentAt+r.group.window-d.answerMargin()
+	return r.group.effect == Deduplicated && d.now <= a.sentAt+r.group.window-d.answerMargin()
 }
 
 // retry makes another attempt where the model group, the rules and the success of recent ones allow.
--- a/control/settings.go
+++ b/control/settings.go
@@ -36,7 +36,8 @@
 	coldShare, overloadFactor, loadFew, loadShare, dispatchers, probePrice float64
 	maxAttempts                                                            int // attempts of one request
 	hedging, cancel, probing, retryAfter, mayOrder                         bool
-	discovery, onMiss                                                      string
+	discovery                                                              DiscoveryMode
+	onMiss                                                                 MissPolicy
 	reportFields                                                           []string
 	groups                                                                 []*modelGroup
 	quotas                                                                 []float64 // of tenants, requests a second
@@ -48,7 +49,7 @@
 	s := settings{
 		tick:           r.number("tick", tickDefault, 0, 1),
 		dispatchers:    r.number("dispatchers", 1, 1, dispatchersMax),
-		discovery:      r.word("discovery", "push", "ask"),
+		discovery:      ParseDiscoveryMode(r.word("discovery", discoveryWords[:])),
 		askEvery:       r.span("rules.ask_every", askEveryDefault),
 		fall:           r.span("rules.fall", fallDefault),
 		warmAfter:      r.number("rules.warm_after", 0, 0, never),
@@ -56,7 +57,7 @@
 		overloadFactor: r.number("rules.overload_factor", 1, shareMin, never),
 		keepAlive:      r.number("models.keep", never, 0, never), // until a miss or a new start says otherwise
 		mayOrder:       r.flag("models.orders"),
-		onMiss:         r.word("models.on_miss", "load", "miss"),
+		onMiss:         ParseMissPolicy(r.word("models.on_miss", missWords[:])),
 		loadWindow:     r.number("models.load_window", 0, 0, never),
 		loadFew:        r.number("models.load_few", 0, 0, never),
 		loadShare:      r.number("models.load_share", 0, 0, never),
@@ -91,8 +92,8 @@
 
 func (r *settingsReader) group(at string) *modelGroup {
 	return &modelGroup{
-		effect:     r.word(at+"effect", "non-retriable", "retriable", "deduped"),
-		scope:      r.word(at+"scope", "", "all", "zone", "cell"),
+		effect:     ParseEffect(r.word(at+"effect", effectWords[:])),
+		scope:      ParseDedupScope(r.word(at+"scope", scopeWords[:])),
 		window:     r.number(at+"window", 0, 0, never),
 		slo:        r.span(at+"slo", sloDefault),
 		sloStretch: r.number(at+"slo_stretch", 0, 0, never),
@@ -129,19 +130,19 @@
 	return int(r.number(name, 0, 0, listMax))
 }
 
-// word reads one of the words known, the fallback among them.
-func (r *settingsReader) word(name, fallback string, others ...string) string {
+// word reads one of the known words; the first of them is the fallback.
+func (r *settingsReader) word(name string, known []string) string {
 	v, told := r.from[name]
-	if !told || v == fallback {
-		return fallback
+	if !told {
+		return known[0]
 	}
-	for _, w := range others {
+	for _, w := range known {
 		if v == w {
 			return w
 		}
 	}
-	r.unknown = append(r.unknown, &SettingError{name, v, fmt.Sprintf("one of %q", append(others, fallback))})
-	return fallback
+	r.unknown = append(r.unknown, &SettingError{name, v, fmt.Sprintf("one of %q", known)})
+	return known[0]
 }
 
 func (r *settingsReader) flag(name string) bool {
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -70,7 +70,7 @@
 		d := New(1, s, log)
 		d.Reconcile()
 		d.Reconcile()
-		if len(log.lines) != 1 || !strings.Contains(log.lines[0], name) || d.groups[0].effect != "non-retriable" {
+		if len(log.lines) != 1 || !strings.Contains(log.lines[0], name) || d.groups[0].effect != NonRetriable {
 			t.Errorf("%s = %v: %q, %s", name, v, log.lines, d.groups[0].effect)
 		}
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -6,8 +6,8 @@
 
 // modelGroup is a model group with its settings.
 type modelGroup struct {
-	effect     string
-	scope      string
+	effect     Effect
+	scope      DedupScope
 	slo        Seconds
 	timeout    Seconds
 	window     Seconds
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,7 +23,6 @@
 	"mastchute/internal/eventloop"
 	"mastchute/internal/flightrecorder"
 	"mastchute/internal/membership"
-	"mastchute/internal/rules"
 )
 
 const (
@@ -90,7 +89,7 @@
 
 type group struct {
 	config.Group
-	effect rules.Effect
+	effect control.Effect
 	index  control.GroupID
 	meter  groupMeter
 }
@@ -125,7 +124,7 @@
 	g.forgetTimer.Fire = g.forget
 	g.Metrics = newMetrics(g)
 	for i, c := range cfg.Groups {
-		g.groups = append(g.groups, &group{Group: c, effect: rules.ParseEffect(c.Effect), index: control.GroupID(i), meter: g.Metrics.group(c.Name)})
+		g.groups = append(g.groups, &group{Group: c, effect: control.ParseEffect(c.Effect), index: control.GroupID(i), meter: g.Metrics.group(c.Name)})
 	}
 	for i, t := range cfg.Tenants {
 		g.tenants[t.Name] = i
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,7 +20,6 @@
 	"mastchute/internal/httpcodec"
 	"mastchute/internal/httpconn"
 	"mastchute/internal/membership"
-	"mastchute/internal/rules"
 )
 
 func TestReturnedAnswerGoesThrough(t *testing.T) {
@@ -264,7 +263,7 @@
 // The window counts from the first attempt that may have run.
 func TestWindowCountsFromTheFirstThatMayHaveRun(t *testing.T) {
 	q := &Request{group: &group{}, attempted: 4}
-	q.group.effect, q.group.Window = rules.Deduplicated, config.S(2)
+	q.group.effect, q.group.Window = control.Deduplicated, config.S(2)
 	q.attempts = [maxAttempts]*Attempt{{made: 1, done: true, result: control.AtCapacity}, {made: 3, done: true, result: control.ConnectionReset}, {made: 4}, {made: 4.5}}
 	if until := repeatsUntil(q.terms(nil, q.attempted-1)); until != 5 {
 		t.Errorf("it ends at %g", until)
@@ -272,7 +271,7 @@
 	if q.attempted = 2; !math.IsInf(repeatsUntil(q.terms(nil, q.attempted-1)), 1) {
 		t.Error("a forward that never ran begins the window")
 	}
-	if q.attempted, q.group.effect = 4, rules.Retriable; !math.IsInf(repeatsUntil(q.terms(nil, q.attempted-1)), 1) {
+	if q.attempted, q.group.effect = 4, control.Retriable; !math.IsInf(repeatsUntil(q.terms(nil, q.attempted-1)), 1) {
 		t.Error("a retriable one has a window")
 	}
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -26,7 +26,7 @@
 // repeatsUntil is when the window ends in which workers drop a repeat, counted from the first attempt that may have run;
 // endless where there is none, or where repeats do no harm.
 func repeatsUntil(t rules.Request) float64 {
-	if t.Effect == rules.Deduplicated && t.MayHaveRun {
+	if t.Effect == control.Deduplicated && t.MayHaveRun {
 		return t.DedupUntil
 	}
 	return math.Inf(1)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -167,7 +167,7 @@
 // answerAtStop gives the final answer at a stop: shed where trying again is harmless, as no attempt has run or may or the model
 // group is retriable, else failed.
 func (g *Gateway) answerAtStop(q *Request, why string) {
-	harmless := q.streaming == nil && (q.group.effect == rules.Retriable || !q.shedTerms().MayHaveRun)
+	harmless := q.streaming == nil && (q.group.effect == control.Retriable || !q.shedTerms().MayHaveRun)
 	if !harmless {
 		g.fail(q, false, why)
 	} else if c := g.final(q, answerShed); c != nil {
--- a/internal/rules/permit.go
+++ b/internal/rules/permit.go
@@ -4,7 +4,11 @@
 // control; what is forbidden is forbidden here, whatever was decided.
 package rules
 
-import "math"
+import (
+	"math"
+
+	"mastchute/control"
+)
 
 const (
 	// MinDeadlineMillis is the shortest deadline, in ms, that is passed to a worker: zero would mean none to some.
@@ -52,31 +56,11 @@
 	return 0
 }
 
-// Effect says what running a request twice does.
-type Effect uint8
-
-const (
-	NonRetriable Effect = iota // the strictest is the zero value
-	Deduplicated
-	Retriable
-)
-
-// ParseEffect reads an effect as the settings write it; a word that is not known is the strictest.
-func ParseEffect(word string) Effect {
-	switch word {
-	case "retriable":
-		return Retriable
-	case "deduped":
-		return Deduplicated
-	}
-	return NonRetriable
-}
-
 // Request is what of a request bears on its attempts and its answer. Times are seconds of one monotonic clock.
 type Request struct {
 	Answered     bool
 	Deadline     float64 // the end of the client's time
-	Effect       Effect
+	Effect       control.Effect
 	MayHaveRun   bool    // an earlier attempt is out, or may have run
 	DedupUntil   float64 // the end of the time in which workers drop repeats of it
 	InDedupScope bool    // the worker in question drops repeats of it
@@ -91,9 +75,9 @@
 		return WorkerNotReady
 	case now > q.Deadline:
 		return DeadlineExceeded
-	case !q.MayHaveRun || q.Effect == Retriable:
+	case !q.MayHaveRun || q.Effect == control.Retriable:
 		return Allowed
-	case q.Effect == NonRetriable:
+	case q.Effect == control.NonRetriable:
 		return MayHaveRun
 	case !q.InDedupScope:
 		return OutsideDedupScope
@@ -132,7 +116,7 @@
 	switch {
 	case q.Answered:
 		return AlreadyAnswered
-	case q.MayHaveRun && q.Effect == NonRetriable:
+	case q.MayHaveRun && q.Effect == control.NonRetriable:
 		return MayHaveRun
 	}
 	return Allowed
--- a/internal/rules/permit_test.go
+++ b/internal/rules/permit_test.go
@@ -1,10 +1,14 @@
 package rules
 
-import "testing"
+import (
+	"testing"
+
+	"mastchute/control"
+)
 
 func TestAttempt(t *testing.T) {
-	once := Request{Deadline: 10, Effect: NonRetriable, MayHaveRun: true}
-	dedup := Request{Deadline: 10, Effect: Deduplicated, MayHaveRun: true, DedupUntil: 3, InDedupScope: true}
+	once := Request{Deadline: 10, Effect: control.NonRetriable, MayHaveRun: true}
+	dedup := Request{Deadline: 10, Effect: control.Deduplicated, MayHaveRun: true, DedupUntil: 3, InDedupScope: true}
 	out := dedup
 	out.InDedupScope = false
 	for _, c := range []struct {
@@ -19,7 +23,7 @@
 		{"draining", 1, Request{Deadline: 10}, false, WorkerNotReady},
 		{"late", 10.1, Request{Deadline: 10}, true, DeadlineExceeded},
 		{"second of a non-retriable", 1, once, true, MayHaveRun},
-		{"second of a retriable", 1, Request{Deadline: 10, Effect: Retriable, MayHaveRun: true}, true, Allowed},
+		{"second of a retriable", 1, Request{Deadline: 10, Effect: control.Retriable, MayHaveRun: true}, true, Allowed},
 		{"in the window", 3, dedup, true, Allowed},
 		{"past the window", 3.1, dedup, true, DedupWindowExpired},
 		{"out of scope", 2, out, true, OutsideDedupScope},
@@ -44,8 +48,8 @@
 }
 
 func TestOtherActs(t *testing.T) {
-	if CheckShed(Request{Effect: NonRetriable, MayHaveRun: true}) != MayHaveRun || CheckShed(Request{Effect: NonRetriable}) != Allowed ||
-		CheckShed(Request{Answered: true}) != AlreadyAnswered || CheckShed(Request{Effect: Deduplicated, MayHaveRun: true}) != Allowed {
+	if CheckShed(Request{Effect: control.NonRetriable, MayHaveRun: true}) != MayHaveRun || CheckShed(Request{Effect: control.NonRetriable}) != Allowed ||
+		CheckShed(Request{Answered: true}) != AlreadyAnswered || CheckShed(Request{Effect: control.Deduplicated, MayHaveRun: true}) != Allowed {
 		t.Error("shed")
 	}
 	if CheckLoad(false) != WorkerNotReady || CheckLoad(true) != Allowed || CheckClose(1) != ResponseOwed || CheckClose(0) != Allowed {
@@ -59,7 +63,7 @@
 			t.Errorf("reason %d has rule %d, name %q", r, r.Rule(), r)
 		}
 	}
-	if ParseEffect("retriable") != Retriable || ParseEffect("deduped") != Deduplicated || ParseEffect("?") != NonRetriable {
+	if control.ParseEffect("retriable") != control.Retriable || control.ParseEffect("deduped") != control.Deduplicated || control.ParseEffect("?") != control.NonRetriable {
 		t.Error("effects")
 	}
 }
