--- a/control/api.go
+++ b/control/api.go
@@ -3,7 +3,7 @@
 // what each request in flight should be (held, out, shed, failed), which orders, probes and timer should be out. Settle
 // alone emits the difference to what is out. docs/design.md says what each file decides.
 //
-// This file is the interface: ids, the events a host feeds in, the settings, and the actions that come out.
+// This file is the interface: ids, the events a host feeds in, and the actions that come out.
 package control
 
 // Times and spans are seconds with fractions, counted from the dispatcher's own start.
@@ -170,27 +170,3 @@
 	TimerFired(t TimerID)
 	Reconcile()
 }
-
-// Settings is what a dispatcher is told at start: dotted names to float64, string or bool. The entries of a list stand
-// under their numbers, its Length under its own name.
-type Settings map[string]any
-
-// Length is how many entries a list has; a plain number tells it too.
-type Length int
-
-// Num returns a number or a length, or the fallback where it is not told.
-func (s Settings) Num(name string, fallback float64) float64 {
-	switch v := s[name].(type) {
-	case float64:
-		return v
-	case Length:
-		return float64(v)
-	}
-	return fallback
-}
-
-// Text returns a text, empty where it is not told.
-func (s Settings) Text(name string) string { v, _ := s[name].(string); return v }
-
-// Is returns a switch, false where it is not told.
-func (s Settings) Is(name string) bool { v, _ := s[name].(bool); return v }
--- a/control/batch_test.go
+++ b/control/batch_test.go
@@ -18,7 +18,7 @@
 		{"gone", func(w rune) WorkerInfo { return line(w, Gone, math.Inf(-1)) }},
 		{"started anew", func(w rune) WorkerInfo { return line(w, Ready, 10) }},
 	} {
-		p := &player{t: t, set: Settings{"groups": Length(1), "groups.0.name": "read", "groups.0.effect": "retriable", "groups.0.slo": 1.0,
+		p := &player{t: t, set: SettingValues{"groups": ListLength(1), "groups.0.name": "read", "groups.0.effect": "retriable", "groups.0.slo": 1.0,
 			"groups.0.timeout": 5.0, "rules.cold_share": 0.05, "rules.warm_after": 20.0, "dispatchers": 100.0}, words: map[string]string{}, now: 1}
 		p.event(func() {
 			p.d.UpdateWorkers(ListSnapshot, 1, []WorkerInfo{line('A', Ready, math.Inf(-1)), line('B', Ready, math.Inf(-1))})
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -65,11 +65,14 @@
 func (c coldRun) play(seed uint64) float64 {
 	const fall, warmAfter, share, overload = 1.0, 8.0, 0.25, 2.0
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	set := Settings{"dispatchers": float64(c.dispatchers), "rules.fall": fall, "rules.warm_after": warmAfter,
-		"rules.cold_share": share, "rules.overload_factor": overload, "limits.max_attempts": 3.0, "limits.hedging": true,
-		"limits.cancel": true, "limits.probes": true, "limits.retry_after": true, "limits.max_retry_after": 0.5, "models.keep": 8.0, "models.on_miss": "load",
-		"load_report.fields": 2.0, "load_report.fields.0": "inflight", "load_report.fields.1": "queue", "groups": 1.0,
-		"groups.0.effect": "retriable", "groups.0.slo": 1.0, "groups.0.timeout": 5.0, "prices.probe": c.price}
+	set := Settings{Dispatchers: float64(c.dispatchers),
+		SlowStart:        SlowStartSettings{InitialCapacity: Some(share), Duration: warmAfter, OverloadFactor: overload, OverloadWindow: fall},
+		Loads:            LoadSettings{OnMiss: MissLoads, KeepAlive: Some(8.0)},
+		Attempts:         AttemptSettings{Max: 3, Hedging: true, Cancel: true},
+		Probes:           ProbeSettings{Allowed: true, Price: c.price},
+		RetryAfter:       RetryAfterSettings{Allowed: true, Max: 0.5},
+		LoadReportFields: []string{"inflight", "queue"},
+		Groups:           []GroupSettings{{Effect: Retriable, SLO: Some(1.0), Timeout: Some(5.0)}}}
 	now := 0.0
 	got := make([][]float64, c.workers)
 	out := make([]float64, c.workers)
@@ -209,7 +212,7 @@
 // A tenant whose share is under one request a second at a dispatcher is not beyond it all the time.
 func TestSmallShareOfATenant(t *testing.T) {
 	for _, quota := range []float64{0.2, 1, 5} {
-		d := New(1, Settings{"dispatchers": 10.0, "tenants": 1.0, "tenants.0.quota": 10 * quota}, &fleetNode{})
+		d := New(1, Settings{Dispatchers: 10, Tenants: []TenantSettings{{Quota: Some(10 * quota)}}}, &fleetNode{})
 		over := 0
 		for i := range 100 { // at nine tenths of the share
 			if d.tenants[0].overQuota(float64(i) / (0.9 * quota)) {
--- a/control/control.go
+++ b/control/control.go
@@ -64,8 +64,8 @@
 
 // New makes a dispatcher that acts by a, its chance from the seed. Settings that can't be used are logged.
 func New(seed uint64, from Settings, a Actions) *Dispatcher {
-	s, r := read(from)
-	d := &Dispatcher{settings: s, settingErrors: append(r.wrong, r.unknown...), actions: a, rnd: newRandom(seed)}
+	s, problems := resolve(from)
+	d := &Dispatcher{settings: s, settingErrors: append(problems.unusable, problems.unknownWords...), actions: a, rnd: newRandom(seed)}
 	d.models, d.workersByID, d.inFlight.byID = map[ModelID]*model{}, map[WorkerID]*worker{}, map[RequestID]int{}
 	d.retryTokens, d.retrySuccess, d.admittingShare, d.runTime = retryTokensMax, 1, 1, firstRun
 	if d.subscribeBackoff = subscribeBackoffMin; s.discovery != DiscoverySubscribe {
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -40,9 +40,12 @@
 		}
 		b.Run(fmt.Sprintf("%d workers, %d dispatchers", n, c.fellows), func(b *testing.B) {
 			a := &answering{}
-			d := New(1, Settings{"limits.max_attempts": 3.0, "limits.hedging": true, "models.keep": 8.0, "groups": 1.0, "dispatchers": float64(c.fellows), "groups.0.effect": "retriable",
-				"groups.0.slo": 1.0, "groups.0.timeout": 5.0, "rules.warm_after": 10.0, "rules.cold_share": 0.2, "tick": 0.001,
-				"load_report.fields": 1.0, "load_report.fields.0": "inflight"}, a)
+			d := New(1, Settings{Tick: Some(0.001), Dispatchers: float64(c.fellows),
+				SlowStart:        SlowStartSettings{InitialCapacity: Some(0.2), Duration: 10},
+				Loads:            LoadSettings{KeepAlive: Some(8.0)},
+				Attempts:         AttemptSettings{Max: 3, Hedging: true},
+				LoadReportFields: []string{"inflight"},
+				Groups:           []GroupSettings{{Effect: Retriable, SLO: Some(1.0), Timeout: Some(5.0)}}}, a)
 			var list []WorkerInfo
 			for i := range n {
 				list = append(list, WorkerInfo{ID: WorkerID(i + 1), State: Ready, Weight: 1, StartedAt: -1e6})
--- a/control/forget_test.go
+++ b/control/forget_test.go
@@ -5,8 +5,8 @@
 // Months in service: names of models, workers replaced and bursts must not stay for ever.
 func TestWhatWasSeenOnceIsForgotten(t *testing.T) {
 	a := &answering{}
-	d := New(1, Settings{"limits.max_attempts": 3.0, "models.keep": 8.0, "groups": 1.0, "groups.0.effect": "retriable", "groups.0.slo": 1.0,
-		"groups.0.timeout": 5.0, "tick": 0.001}, a)
+	d := New(1, Settings{Attempts: AttemptSettings{Max: 3}, Loads: LoadSettings{KeepAlive: Some(8.0)}, Tick: Some(0.001),
+		Groups: []GroupSettings{{Effect: Retriable, SLO: Some(1.0), Timeout: Some(5.0)}}}, a)
 	now, id := 0.0, RequestID(0)
 	at := func(s Seconds, f func()) { now += s; a.now = now; d.SetNow(now); f(); d.Reconcile() }
 	list := func(day, n int) (l []WorkerInfo) {
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -25,7 +25,7 @@
 //	count N WORD...                    so many of the open actions begin with these words
 type player struct {
 	t     *testing.T
-	set   Settings
+	set   SettingValues
 	d     *Dispatcher
 	now   Seconds
 	wakes []Seconds
@@ -59,7 +59,7 @@
 // event plays one event at the present time.
 func (p *player) event(f func()) {
 	if p.d == nil {
-		p.d = New(7, p.set, p)
+		p.d = New(7, ParseSettings(p.set), p)
 	}
 	p.d.SetNow(p.now)
 	f()
@@ -218,7 +218,7 @@
 		text.Close()
 		for _, n := range names {
 			t.Run(strings.ReplaceAll(n, " ", "-"), func(t *testing.T) {
-				p := &player{t: t, set: Settings{}, words: map[string]string{}}
+				p := &player{t: t, set: SettingValues{}, words: map[string]string{}}
 				for _, line := range append(strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }), steps[n]...) {
 					p.play(line)
 				}
@@ -238,11 +238,11 @@
 
 // TestOrdinaryPathAllocatesNothing takes and answers requests on a warm worker.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	p := &player{t: t, set: Settings{}}
+	p := &player{t: t, set: SettingValues{}}
 	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
 		p.play(line)
 	}
-	d := New(7, p.set, quiet{})
+	d := New(7, ParseSettings(p.set), quiet{})
 	list := []WorkerInfo{{ID: 1, State: Ready, StartedAt: math.Inf(-1)}, {ID: 2, State: Ready, StartedAt: math.Inf(-1)}}
 	d.UpdateWorkers(ListSnapshot, 0, list)
 	id, now := RequestID(0), 0.0
--- a/control/settings.go
+++ b/control/settings.go
@@ -4,33 +4,176 @@
 	"errors"
 	"fmt"
 	"math"
+	"slices"
 	"strconv"
 )
 
-// The settings are read once: looking names up costs more than deciding. A missing one has its default, from the constants
-// of control.go; one that can't be used has it too, and is reported by Check and in the log.
+// Settings are the settings of a dispatcher. The zero value holds the default of every setting.
+//
+// A number is absent where its field is zero, or where its Optional is unset if zero is a value of its own. A number out of
+// its range has the default and is reported by Check, except a zero, which counts as absent there. Numbers of counts are
+// float64, because their sources may hold fractions. The name in brackets is the dotted name under which a SettingError
+// reports the setting.
+type Settings struct {
+	// Tick is the resolution of the host's clock, from 0 to 1 s; 1 ms by default (tick).
+	Tick Optional[Seconds]
+	// Dispatchers is the number of dispatchers that share the workers, this one included; 1 by default (dispatchers).
+	Dispatchers float64
+	// Discovery holds the settings of the subscription to the endpoint list.
+	Discovery DiscoverySettings
+	// SlowStart holds the settings that protect workers that are warming up.
+	SlowStart SlowStartSettings
+	// Loads holds the settings of model loads.
+	Loads LoadSettings
+	// Attempts holds the settings of retries and hedged requests.
+	Attempts AttemptSettings
+	// Probes holds the settings of health checks.
+	Probes ProbeSettings
+	// RetryAfter holds the settings of the Retry-After time of rejected requests.
+	RetryAfter RetryAfterSettings
+	// LoadReportFields names the fields of a worker's load report in order (load_report.fields).
+	LoadReportFields []string
+	// Groups holds the settings of the model groups, indexed by GroupID; where it is empty there is one group with the
+	// defaults, which are the strictest (groups).
+	Groups []GroupSettings
+	// Tenants holds the settings of the tenants, indexed by TenantID (tenants).
+	Tenants []TenantSettings
 
-// SettingError names a setting that can't be used.
+	malformed map[string]any // by dotted name, the values that ParseSettings could not represent in their fields
+}
+
+// DiscoverySettings say how the dispatcher learns of changes to the endpoint list.
+type DiscoverySettings struct {
+	// Mode is the discovery mode (discovery).
+	Mode DiscoveryMode
+	// BackoffMax is the longest backoff between two attempts to subscribe, at least 1 ms; 10 s by default
+	// (rules.ask_every).
+	BackoffMax Seconds
+}
+
+// SlowStartSettings describe how the capacity of a worker grows after its start, and the overload that makes it fail.
+type SlowStartSettings struct {
+	// InitialCapacity is the share of its full capacity that a worker has at its start, from 0 to 1; 0.1 by default
+	// (rules.cold_share).
+	InitialCapacity Optional[float64]
+	// Duration is the time from a worker's start until it has its full capacity (rules.warm_after).
+	Duration Seconds
+	// OverloadFactor is the multiple of its present capacity that overloads a worker; 1 by default
+	// (rules.overload_factor).
+	OverloadFactor float64
+	// OverloadWindow is the time for which a worker withstands an overload, at least 1 ms; 1 s by default (rules.fall).
+	OverloadWindow Seconds
+}
+
+// LoadSettings say how models are loaded by workers, and limit the load orders.
+type LoadSettings struct {
+	// OnMiss says what a worker does with a request whose model it does not hold (models.on_miss).
+	OnMiss MissPolicy
+	// Orders allows load orders where workers reject such requests (models.orders).
+	Orders bool
+	// KeepAlive is the time for which a worker keeps a model after its last use; without end by default (models.keep).
+	KeepAlive Optional[Seconds]
+	// Window is the sliding window of the budget of load orders; 0 for no budget (models.load_window).
+	Window Seconds
+	// Base is the number of load orders that are always allowed within the window (models.load_few).
+	Base float64
+	// PerRequest is the number of load orders allowed on top for each request taken in the window (models.load_share).
+	PerRequest float64
+}
+
+// AttemptSettings limit what may be done for one request.
+type AttemptSettings struct {
+	// Max is the number of attempts of one request, the first included; 1 by default, and 8 at most
+	// (limits.max_attempts).
+	Max float64
+	// Hedging allows a second attempt while the first is in flight (limits.hedging).
+	Hedging bool
+	// Cancel allows attempts in flight to be cancelled when they are no longer needed (limits.cancel).
+	Cancel bool
+}
+
+// ProbeSettings say whether workers are probed for their load, and at what price.
+type ProbeSettings struct {
+	// Allowed allows probes (limits.probes).
+	Allowed bool
+	// Price is the cost of a probe as a share of a request's value (prices.probe).
+	Price float64
+}
+
+// RetryAfterSettings say whether a rejected request carries a Retry-After time.
+type RetryAfterSettings struct {
+	// Allowed allows a Retry-After time (limits.retry_after).
+	Allowed bool
+	// Max is the longest Retry-After time (limits.max_retry_after).
+	Max Seconds
+}
+
+// GroupSettings are the promises of a model group.
+type GroupSettings struct {
+	// Effect says what running a request twice does (groups.N.effect).
+	Effect Effect
+	// Scope says among which workers a repeat is dropped, where the effect is Deduplicated (groups.N.scope).
+	Scope DedupScope
+	// Window is the time for which a repeat is dropped (groups.N.window).
+	Window Seconds
+	// SLO is the latency objective, at least 1 ms; 1 s by default (groups.N.slo). The decisions treat a zero as absent; it
+	// is optional because a host may do otherwise.
+	SLO Optional[Seconds]
+	// SLOStretch extends the latency objective by this multiple of a request's own work (groups.N.slo_stretch).
+	SLOStretch float64
+	// Timeout is the time after which a client no longer waits, at least 1 ms; 60 s by default (groups.N.timeout). The
+	// decisions treat a zero as absent; it is optional because a host may do otherwise.
+	Timeout Optional[Seconds]
+}
+
+// TenantSettings are the settings of a tenant.
+type TenantSettings struct {
+	// Quota is the rate of requests a second through all dispatchers together that the tenant is entitled to; without
+	// limit by default (tenants.N.quota).
+	Quota Optional[float64]
+}
+
+// Optional is a value that may be absent. Its zero value is absent.
+type Optional[T any] struct {
+	value T
+	set   bool
+}
+
+// Some returns an Optional that holds the value.
+func Some[T any](value T) Optional[T] { return Optional[T]{value, true} }
+
+// Get returns the value and whether there is one.
+func (o Optional[T]) Get() (T, bool) { return o.value, o.set }
+
+// Or returns the value, or the fallback if there is none.
+func (o Optional[T]) Or(fallback T) T {
+	if o.set {
+		return o.value
+	}
+	return fallback
+}
+
+// SettingError reports a setting with an unusable value.
 type SettingError struct {
-	Name string
-	Told any    // its value
-	Want string // what may stand there
+	Name  string // dotted
+	Value any
+	Want  string // describes the usable values
 }
 
 // Error names the setting, its value and what it should be.
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("setting %s is %v: it should be %s", e.Name, e.Told, e.Want)
+	return fmt.Sprintf("setting %s is %v: it should be %s", e.Name, e.Value, e.Want)
 }
 
-// Check returns an error that names each setting which can't be used, nil if there is none. A host that may refuse to
-// start asks it first; New goes on with the defaults in their place. A word that is not known is no such fault: a later
+// Check returns an error that joins a SettingError for each unusable setting, nil if there is none. A host that may refuse
+// to start calls it first; New uses the defaults in place of such settings. An unknown word is not reported here: a later
 // platform may have more of them, and the default is the strictest.
 func Check(s Settings) error {
-	_, r := read(s)
-	return errors.Join(r.wrong...)
+	_, problems := resolve(s)
+	return errors.Join(problems.unusable...)
 }
 
-// settings is what they say.
+// settings are the resolved settings: checked, with the default in place of each that is absent or unusable.
 type settings struct {
 	tick, askEvery, fall, warmAfter, keepAlive, loadWindow, retryAfterMax  Seconds
 	coldShare, overloadFactor, loadFew, loadShare, dispatchers, probePrice float64
@@ -43,113 +186,122 @@
 	quotas                                                                 []float64 // of tenants, requests a second
 }
 
-// read reads all settings; the reader keeps what can't be used.
-func read(from Settings) (settings, *settingsReader) {
-	r := &settingsReader{from: from}
+// resolve checks all settings and puts the defaults in place. It runs once, at the start of a dispatcher.
+func resolve(from Settings) (settings, *settingProblems) {
+	p := &settingProblems{malformed: from.malformed}
 	s := settings{
-		tick:           r.number("tick", tickDefault, 0, 1),
-		dispatchers:    r.number("dispatchers", 1, 1, dispatchersMax),
-		discovery:      ParseDiscoveryMode(r.word("discovery", discoveryWords[:])),
-		askEvery:       r.span("rules.ask_every", askEveryDefault),
-		fall:           r.span("rules.fall", fallDefault),
-		warmAfter:      r.number("rules.warm_after", 0, 0, never),
-		coldShare:      math.Max(shareMin, r.number("rules.cold_share", coldShareDefault, 0, 1)),
-		overloadFactor: r.number("rules.overload_factor", 1, shareMin, never),
-		keepAlive:      r.number("models.keep", never, 0, never), // until a miss or a new start says otherwise
-		mayOrder:       r.flag("models.orders"),
-		onMiss:         ParseMissPolicy(r.word("models.on_miss", missWords[:])),
-		loadWindow:     r.number("models.load_window", 0, 0, never),
-		loadFew:        r.number("models.load_few", 0, 0, never),
-		loadShare:      r.number("models.load_share", 0, 0, never),
-		maxAttempts:    min(maxAttempts, int(r.number("limits.max_attempts", 1, 1, never))),
-		hedging:        r.flag("limits.hedging"),
-		cancel:         r.flag("limits.cancel"),
-		probing:        r.flag("limits.probes"),
-		retryAfter:     r.flag("limits.retry_after"),
-		retryAfterMax:  r.number("limits.max_retry_after", 0, 0, never),
-		probePrice:     r.number("prices.probe", 0, 0, never),
+		tick:           p.optional("tick", from.Tick, tickDefault, 0, 1),
+		dispatchers:    p.number("dispatchers", from.Dispatchers, 1, 1, dispatchersMax),
+		discovery:      word(p, "discovery", from.Discovery.Mode, discoveryWords[:]),
+		askEvery:       p.span("rules.ask_every", from.Discovery.BackoffMax, askEveryDefault),
+		fall:           p.span("rules.fall", from.SlowStart.OverloadWindow, fallDefault),
+		warmAfter:      p.number("rules.warm_after", from.SlowStart.Duration, 0, 0, never),
+		coldShare:      math.Max(shareMin, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, coldShareDefault, 0, 1)),
+		overloadFactor: p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, shareMin, never),
+		keepAlive:      p.optional("models.keep", from.Loads.KeepAlive, never, 0, never), // until a miss or a restart is seen
+		mayOrder:       p.flag("models.orders", from.Loads.Orders),
+		onMiss:         word(p, "models.on_miss", from.Loads.OnMiss, missWords[:]),
+		loadWindow:     p.number("models.load_window", from.Loads.Window, 0, 0, never),
+		loadFew:        p.number("models.load_few", from.Loads.Base, 0, 0, never),
+		loadShare:      p.number("models.load_share", from.Loads.PerRequest, 0, 0, never),
+		maxAttempts:    min(maxAttempts, int(p.number("limits.max_attempts", from.Attempts.Max, 1, 1, never))),
+		hedging:        p.flag("limits.hedging", from.Attempts.Hedging),
+		cancel:         p.flag("limits.cancel", from.Attempts.Cancel),
+		probing:        p.flag("limits.probes", from.Probes.Allowed),
+		retryAfter:     p.flag("limits.retry_after", from.RetryAfter.Allowed),
+		retryAfterMax:  p.number("limits.max_retry_after", from.RetryAfter.Max, 0, 0, never),
+		probePrice:     p.number("prices.probe", from.Probes.Price, 0, 0, never),
 	}
 	if !s.retryAfter {
 		s.retryAfterMax = 0
 	}
-	for i := range r.count("load_report.fields") {
-		s.reportFields = append(s.reportFields, from.Text("load_report.fields."+strconv.Itoa(i)))
-	}
-	for i := range max(1, r.count("groups")) { // where none is told there is one, of the strictest kind
-		s.groups = append(s.groups, r.group("groups."+strconv.Itoa(i)+"."))
+	s.reportFields = slices.Clone(from.LoadReportFields[:p.length("load_report.fields", len(from.LoadReportFields))])
+	for i := range max(1, p.length("groups", len(from.Groups))) {
+		group := GroupSettings{}
+		if i < len(from.Groups) {
+			group = from.Groups[i]
+		}
+		s.groups = append(s.groups, p.group("groups."+strconv.Itoa(i)+".", group))
 	}
-	for i := range r.count("tenants") {
-		s.quotas = append(s.quotas, r.number("tenants."+strconv.Itoa(i)+".quota", never, 0, never))
+	for i := range p.length("tenants", len(from.Tenants)) {
+		s.quotas = append(s.quotas, p.optional("tenants."+strconv.Itoa(i)+".quota", from.Tenants[i].Quota, never, 0, never))
 	}
-	return s, r
+	return s, p
 }
 
-// settingsReader keeps what can't be used, and words that are not known.
-type settingsReader struct {
-	from           Settings
-	wrong, unknown []error
+// settingProblems collects the settings that can't be used while they are resolved.
+type settingProblems struct {
+	malformed    map[string]any
+	unusable     []error // reported by Check
+	unknownWords []error // only logged
 }
 
-func (r *settingsReader) group(at string) *modelGroup {
+func (p *settingProblems) add(name string, value any, want string) {
+	p.unusable = append(p.unusable, &SettingError{name, value, want})
+}
+
+func (p *settingProblems) group(prefix string, from GroupSettings) *modelGroup {
 	return &modelGroup{
-		effect:     ParseEffect(r.word(at+"effect", effectWords[:])),
-		scope:      ParseDedupScope(r.word(at+"scope", scopeWords[:])),
-		window:     r.number(at+"window", 0, 0, never),
-		slo:        r.span(at+"slo", sloDefault),
-		sloStretch: r.number(at+"slo_stretch", 0, 0, never),
-		timeout:    r.span(at+"timeout", timeoutDefault),
+		effect:     word(p, prefix+"effect", from.Effect, effectWords[:]),
+		scope:      word(p, prefix+"scope", from.Scope, scopeWords[:]),
+		window:     p.number(prefix+"window", from.Window, 0, 0, never),
+		slo:        p.span(prefix+"slo", from.SLO.value, sloDefault),
+		sloStretch: p.number(prefix+"slo_stretch", from.SLOStretch, 0, 0, never),
+		timeout:    p.span(prefix+"timeout", from.Timeout.value, timeoutDefault),
 	}
 }
 
-// number reads a number within bounds. Zero counts as not told where it is out of them: that is how the wire says so.
-func (r *settingsReader) number(name string, fallback, low, high float64) float64 {
-	v, told := r.from[name]
-	if !told {
+// number returns a number within bounds, else the fallback. A zero out of bounds counts as absent: that is how the wire
+// writes it.
+func (p *settingProblems) number(name string, value, fallback, low, high float64) float64 {
+	want := fmt.Sprintf("a number from %g to %g", low, high)
+	if malformed, ok := p.malformed[name]; ok {
+		p.add(name, malformed, want)
 		return fallback
 	}
-	n, ok := v.(float64)
-	switch {
-	case ok && n >= low && n <= high:
-		return n
-	case !ok || n != 0:
-		r.wrong = append(r.wrong, &SettingError{name, v, fmt.Sprintf("a number from %g to %g", low, high)})
+	if value >= low && value <= high {
+		return value
+	}
+	if value != 0 {
+		p.add(name, value, want)
 	}
 	return fallback
 }
 
-// span reads seconds by which something is divided or waited for.
-func (r *settingsReader) span(name string, fallback Seconds) Seconds {
-	return r.number(name, fallback, spanMin, never)
+// optional returns a number of which zero is a value of its own.
+func (p *settingProblems) optional(name string, value Optional[float64], fallback, low, high float64) float64 {
+	return p.number(name, value.Or(fallback), fallback, low, high)
 }
 
-// count reads the length of a list.
-func (r *settingsReader) count(name string) int {
-	if n, ok := r.from[name].(Length); ok && n <= listMax {
-		return int(n)
-	}
-	return int(r.number(name, 0, 0, listMax))
+// span returns seconds by which something is divided or for which something waits.
+func (p *settingProblems) span(name string, value, fallback Seconds) Seconds {
+	return p.number(name, value, fallback, spanMin, never)
 }
 
-// word reads one of the known words; the first of them is the fallback.
-func (r *settingsReader) word(name string, known []string) string {
-	v, told := r.from[name]
-	if !told {
-		return known[0]
-	}
-	for _, w := range known {
-		if v == w {
-			return w
-		}
+// length returns the length of a list, 0 where it is malformed or too large.
+func (p *settingProblems) length(name string, length int) int {
+	return int(p.number(name, float64(length), 0, 0, listMax))
+}
+
+func (p *settingProblems) flag(name string, value bool) bool {
+	if malformed, ok := p.malformed[name]; ok {
+		p.add(name, malformed, "true or false")
+		return false
 	}
-	r.unknown = append(r.unknown, &SettingError{name, v, fmt.Sprintf("one of %q", known)})
-	return known[0]
+	return value
 }
 
-func (r *settingsReader) flag(name string) bool {
-	v, told := r.from[name]
-	on, ok := v.(bool)
-	if told && !ok {
-		r.wrong = append(r.wrong, &SettingError{name, v, "true or false"})
+// word returns one of the modes that known words name, and the first of them in place of an unknown one.
+func word[M ~uint8](p *settingProblems, name string, mode M, known []string) M {
+	value, unknown := p.malformed[name]
+	if int(mode) >= len(known) {
+		value, unknown = uint8(mode), true
+	}
+	if !unknown {
+		return mode
 	}
-	return on
+	words := slices.Clone(known)
+	slices.Reverse(words) // the default is named last
+	p.unknownWords = append(p.unknownWords, &SettingError{name, value, fmt.Sprintf("one of %q", words)})
+	return 0
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"math"
+	"reflect"
 	"strings"
 	"testing"
 )
 
 // usualPlayer is a player under the usual settings, changed by change.
-func usualPlayer(t *testing.T, change func(Settings)) *player {
-	p := &player{t: t, set: Settings{}, words: map[string]string{}}
+func usualPlayer(t *testing.T, change func(SettingValues)) *player {
+	p := &player{t: t, set: SettingValues{}, words: map[string]string{}}
 	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
 		p.play(line)
 	}
@@ -36,7 +37,7 @@
 		"groups.0.slo": -0.2, "groups.0.timeout": -1.0,
 		"groups.0.slo_stretch": math.NaN(),
 	} {
-		s := Settings{"groups": 1.0, "models.orders": true, "limits.retry_after": true, name: v}
+		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, "limits.retry_after": true, name: v})
 		var wrong *SettingError
 		if err := Check(s); !errors.As(err, &wrong) || wrong.Name != name {
 			t.Errorf("%s = %v: %v", name, v, err)
@@ -46,14 +47,16 @@
 			t.Errorf("%s = %v: %d faults, %d groups, %d tenants", name, v, len(d.settingErrors), len(d.groups), len(d.tenants))
 		}
 	}
-	if err := Check(Settings{"groups": 1.0, "a.new.setting": "word"}); err != nil {
+	if err := Check(ParseSettings(SettingValues{"groups": 1.0, "a.new.setting": "word"})); err != nil {
 		t.Errorf("an unknown setting: %v", err)
 	}
-	if err := Check(Settings{}); err != nil {
-		t.Errorf("no settings: %v", err)
+	for _, s := range []Settings{{}, ParseSettings(nil), ParseSettings(SettingValues{})} {
+		if err := Check(s); err != nil || !reflect.DeepEqual(s, Settings{}) {
+			t.Errorf("no settings: %+v, %v", s, err)
+		}
 	}
 	for _, name := range []string{"rules.fall", "rules.ask_every", "rules.overload_factor", "dispatchers", "limits.max_attempts", "groups.0.slo", "groups.0.timeout"} {
-		if err := Check(Settings{"groups": 1.0, name: 0.0}); err != nil {
+		if err := Check(ParseSettings(SettingValues{"groups": 1.0, name: 0.0})); err != nil {
 			t.Errorf("zero is how the wire says that nothing is told: %v", err)
 		}
 	}
@@ -62,7 +65,7 @@
 // TestUnknownWords: the strictest default stands in place of a word that is not known, and the log says so once.
 func TestUnknownWords(t *testing.T) {
 	for name, v := range map[string]any{"discovery": "guess", "groups.0.effect": "purest", "groups.0.scope": 4.0, "models.on_miss": "ask"} {
-		s := Settings{"groups": 1.0, "models.orders": true, name: v}
+		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, name: v})
 		if err := Check(s); err != nil {
 			t.Errorf("%s = %v ends the start: %v", name, v, err)
 		}
@@ -79,12 +82,12 @@
 // TestColdWorkerUnderOddSettings sends forty requests to a worker that started a moment ago: where the figures of the
 // rule are missing or can't be used, it gets no more than under the usual ones.
 func TestColdWorkerUnderOddSettings(t *testing.T) {
-	for name, change := range map[string]func(Settings){
-		"usual":           func(Settings) {},
-		"no cold share":   func(s Settings) { delete(s, "rules.cold_share") },
-		"no time to fall": func(s Settings) { s["rules.fall"] = 0.0 },
-		"negative factor": func(s Settings) { s["rules.overload_factor"] = -3.0 },
-		"no dispatchers":  func(s Settings) { s["dispatchers"] = 0.0 },
+	for name, change := range map[string]func(SettingValues){
+		"usual":           func(SettingValues) {},
+		"no cold share":   func(s SettingValues) { delete(s, "rules.cold_share") },
+		"no time to fall": func(s SettingValues) { s["rules.fall"] = 0.0 },
+		"negative factor": func(s SettingValues) { s["rules.overload_factor"] = -3.0 },
+		"no dispatchers":  func(s SettingValues) { s["dispatchers"] = 0.0 },
 	} {
 		p := usualPlayer(t, change)
 		p.play("wait 5")
@@ -102,7 +105,7 @@
 func TestValuesThatAreNoNumbers(t *testing.T) {
 	for _, q := range []Request{{Deadline: math.NaN()}, {Deadline: math.Inf(1)}, {Deadline: 3, LoadTimeHint: math.Inf(1)},
 		{Deadline: 3, LoadTimeHint: math.NaN(), WorkHint: math.NaN()}, {Deadline: math.Inf(-1)}} {
-		p := usualPlayer(t, func(s Settings) { s["groups.0.timeout"] = 2.0 })
+		p := usualPlayer(t, func(s SettingValues) { s["groups.0.timeout"] = 2.0 })
 		p.play("workers A")
 		q.ID = 1
 		p.event(func() { p.d.RequestArrived(q) })
@@ -111,7 +114,7 @@
 			t.Errorf("%+v: %q", q, p.acts)
 		}
 	}
-	p := usualPlayer(t, func(s Settings) {
+	p := usualPlayer(t, func(s SettingValues) {
 		s["load_report.fields"], s["load_report.fields.0"], s["dispatchers"] = 1.0, "queue", 200.0
 	})
 	p.play("workers A B")
@@ -128,7 +131,7 @@
 
 // TestManyTenants: where model groups times tenants would fill the memory of each worker, tenants share one record.
 func TestManyTenants(t *testing.T) {
-	p := usualPlayer(t, func(s Settings) { s["tenants"] = 4000.0 })
+	p := usualPlayer(t, func(s SettingValues) { s["tenants"] = 4000.0 })
 	p.play("workers A B")
 	p.play("take 1-5 model=1 tenant=3999")
 	if w := p.d.workersByID['A']; len(w.classes) != len(p.d.groups) || p.attempts() == 0 {
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -97,7 +97,7 @@
 	rnd := w.rnd
 	pick := func(s ...string) string { return s[rnd.IntN(len(s))] }
 	workers, fellows := 4+rnd.IntN(40), []float64{1, 2, 40}[rnd.IntN(3)]
-	s := Settings{"limits.max_attempts": float64(1 + rnd.IntN(6)), "limits.hedging": rnd.IntN(3) > 0, "limits.cancel": rnd.IntN(4) > 0,
+	s := SettingValues{"limits.max_attempts": float64(1 + rnd.IntN(6)), "limits.hedging": rnd.IntN(3) > 0, "limits.cancel": rnd.IntN(4) > 0,
 		"limits.probes": rnd.IntN(2) == 0, "limits.retry_after": true, "limits.max_retry_after": 0.5, "models.keep": 1 + 8*rnd.Float64(), "models.on_miss": pick("miss", "load"),
 		"models.orders": rnd.IntN(4) > 0, "rules.warm_after": 5.0, "rules.cold_share": 0.2, "rules.fall": 1.0, "rules.overload_factor": 3.0,
 		"tick": 0.001, "dispatchers": fellows, "discovery": pick("push", "ask"), "groups": 3.0, "tenants": 2.0, "tenants.0.quota": 20.0 * fellows,
@@ -110,7 +110,7 @@
 		s[at+"effect"], s[at+"scope"], s[at+"window"] = e, pick("all", "zone", "cell"), 2.0
 		s[at+"slo"], s[at+"timeout"] = 0.5+rnd.Float64(), 3.0
 	}
-	w.d = New(seed, s, w)
+	w.d = New(seed, ParseSettings(s), w)
 	list := make([]WorkerInfo, workers)
 	for i := range list {
 		list[i] = WorkerInfo{ID: WorkerID(1000 + i), Zone: ZoneID(i % 3), Cell: CellID(i % 2), State: Ready, Weight: 1, StartedAt: math.Inf(-1)}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -5,7 +5,6 @@
 
 import (
 	"slices"
-	"strconv"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -208,34 +207,53 @@
 // WorkerID is the id of a worker by its name.
 func WorkerID(name string) control.WorkerID { return control.WorkerID(xxhash.Sum64String(name)) }
 
-// Settings turns the settings into what the decisions are told, by the names that control reads.
+// Settings returns the settings that the decisions read.
 func (c *Config) Settings() control.Settings {
 	s := control.Settings{
-		"tick": c.Tick.Seconds, "dispatchers": float64(c.Dispatchers), "discovery": c.Roster.Discovery,
-		"rules.drain_grace": c.Rules.DrainGrace.Seconds, "rules.cold_share": c.Rules.ColdShare,
-		"rules.warm_after": c.Rules.WarmAfter.Seconds, "rules.overload_factor": c.Rules.OverloadFactor,
-		"rules.fall": c.Rules.Fall.Seconds, "rules.ask_every": c.Rules.AskEvery.Seconds,
-		"models.on_miss": c.Loads.OnMiss, "models.orders": c.Loads.Orders, "models.keep": c.Loads.Keep.Seconds,
-		"models.order_timeout": c.Loads.Timeout.Seconds, "models.load_window": c.Loads.Window.Seconds,
-		"models.load_few": c.Loads.Few, "models.load_share": c.Loads.Share,
-		"limits.max_attempts": float64(c.Attempts.Most), "limits.hedging": c.Attempts.Hedging,
-		"limits.cancel": c.Attempts.Cancel, "limits.probes": c.Attempts.Probes, "prices.probe": c.Attempts.ProbePrice,
-		"limits.retry_after": c.Attempts.MaxRetryAfter.Seconds > 0, "limits.max_retry_after": c.Attempts.MaxRetryAfter.Seconds,
-		"load_report.fields": float64(len(c.Report)), "groups": float64(len(c.Groups)), "tenants": float64(len(c.Tenants)),
+		Tick:        control.Some(c.Tick.Seconds),
+		Dispatchers: float64(c.Dispatchers),
+		Discovery: control.DiscoverySettings{
+			Mode:       control.ParseDiscoveryMode(c.Roster.Discovery),
+			BackoffMax: c.Rules.AskEvery.Seconds,
+		},
+		SlowStart: control.SlowStartSettings{
+			InitialCapacity: control.Some(c.Rules.ColdShare),
+			Duration:        c.Rules.WarmAfter.Seconds,
+			OverloadFactor:  c.Rules.OverloadFactor,
+			OverloadWindow:  c.Rules.Fall.Seconds,
+		},
+		Loads: control.LoadSettings{
+			OnMiss:     control.ParseMissPolicy(c.Loads.OnMiss),
+			Orders:     c.Loads.Orders,
+			KeepAlive:  control.Some(c.Loads.Keep.Seconds),
+			Window:     c.Loads.Window.Seconds,
+			Base:       c.Loads.Few,
+			PerRequest: c.Loads.Share,
+		},
+		Attempts: control.AttemptSettings{Max: float64(c.Attempts.Most), Hedging: c.Attempts.Hedging, Cancel: c.Attempts.Cancel},
+		Probes:   control.ProbeSettings{Allowed: c.Attempts.Probes, Price: c.Attempts.ProbePrice},
+		RetryAfter: control.RetryAfterSettings{
+			Allowed: c.Attempts.MaxRetryAfter.Seconds > 0,
+			Max:     c.Attempts.MaxRetryAfter.Seconds,
+		},
+		LoadReportFields: slices.Clone(c.Report),
 	}
-	for i, f := range c.Report {
-		s["load_report.fields."+strconv.Itoa(i)] = f
+	for _, g := range c.Groups {
+		s.Groups = append(s.Groups, control.GroupSettings{
+			Effect:     control.ParseEffect(g.Effect),
+			Scope:      control.ParseDedupScope(g.Scope),
+			Window:     g.Window.Seconds,
+			SLO:        control.Some(g.SLO.Seconds),
+			SLOStretch: g.Stretch,
+			Timeout:    control.Some(g.Timeout.Seconds),
+		})
 	}
-	for i, g := range c.Groups {
-		at := "groups." + strconv.Itoa(i) + "."
-		s[at+"name"], s[at+"effect"], s[at+"scope"] = g.Name, g.Effect, g.Scope
-		s[at+"slo"], s[at+"timeout"], s[at+"window"], s[at+"value"], s[at+"slo_stretch"] = g.SLO.Seconds, g.Timeout.Seconds, g.Window.Seconds, g.Value, g.Stretch
-	}
-	for i, t := range c.Tenants {
-		at := "tenants." + strconv.Itoa(i) + "."
-		if s[at+"name"] = t.Name; t.Quota > 0 {
-			s[at+"quota"] = t.Quota
+	for _, t := range c.Tenants {
+		tenant := control.TenantSettings{}
+		if t.Quota > 0 {
+			tenant.Quota = control.Some(t.Quota)
 		}
+		s.Tenants = append(s.Tenants, tenant)
 	}
 	return s
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -4,7 +4,8 @@
 	"flag"
 	"os"
 	"path/filepath"
-	"regexp"
+	"reflect"
+	"slices"
 	"strings"
 	"testing"
 
@@ -71,45 +72,64 @@
 	}
 }
 
-// What the decisions read is what the settings hold, by the names that control asks for.
+// TestSettingsReachTheDecisions checks the values that the decisions read, and that each of their settings has a source.
 func TestSettingsReachTheDecisions(t *testing.T) {
 	c, err := Parse("x", []byte(good+"loads: {on_miss: miss, window: 10s, few: 5, share: 0.1, keep: 3s}\nforwards: {most: 5, probes: true, probe_price: 0.02}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := c.Settings()
-	for name, want := range map[string]any{"groups": 2.0, "groups.1.effect": "deduped", "groups.1.scope": "zone", "groups.1.window": 4.0,
-		"groups.1.timeout": 60.0, "tenants": 2.0, "tenants.0.quota": 20.0, "rules.drain_grace": 0.5, "models.on_miss": "miss",
-		"models.load_window": 10.0, "models.load_few": 5.0, "models.keep": 3.0, "limits.max_attempts": 5.0, "limits.probes": true, "prices.probe": 0.02,
-		"load_report.fields.0": "inflight", "tick": 0.001, "discovery": "push"} {
-		if s[name] != want {
-			t.Errorf("%s is %v, want %v", name, s[name], want)
-		}
+	group := control.GroupSettings{Effect: control.Deduplicated, Scope: control.ScopeZone, Window: 4, SLO: control.Some(1.0),
+		Timeout: control.Some(60.0)}
+	if len(s.Groups) != 2 || s.Groups[1] != group {
+		t.Errorf("groups %+v, want two and the second %+v", s.Groups, group)
+	}
+	if len(s.Tenants) != 2 || s.Tenants[0].Quota != control.Some(20.0) || s.Tenants[1] != (control.TenantSettings{}) {
+		t.Errorf("tenants %+v: want a quota of 20 and none", s.Tenants)
+	}
+	loads := control.LoadSettings{OnMiss: control.MissRejects, Orders: true, KeepAlive: control.Some(3.0), Window: 10, Base: 5, PerRequest: 0.1}
+	if s.Loads != loads {
+		t.Errorf("loads %+v, want %+v", s.Loads, loads)
 	}
-	if _, ok := s["tenants.1.quota"]; ok {
-		t.Error("a tenant without a share has a quota")
+	if c.Rules.DrainGrace.Seconds != 0.5 {
+		t.Errorf("drain grace %g", c.Rules.DrainGrace.Seconds)
+	}
+	if s.Attempts.Max != 5 || s.Probes != (control.ProbeSettings{Allowed: true, Price: 0.02}) {
+		t.Errorf("attempts %+v, probes %+v", s.Attempts, s.Probes)
+	}
+	if s.Tick != control.Some(0.001) || s.Discovery.Mode != control.DiscoveryPush || !slices.Equal(s.LoadReportFields, []string{"inflight", "queue"}) {
+		t.Errorf("tick %v, discovery %v, load report %q", s.Tick, s.Discovery, s.LoadReportFields)
 	}
-	// Every name that control reads is set.
 	if err := control.Check(s); err != nil {
 		t.Errorf("the decisions can't use them: %v", err)
 	}
-	src, err := os.ReadFile("../../control/settings.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	names := regexp.MustCompile(`r\.(?:number|span|flag|word|count)\((at\+)?"([^"]+)"`).FindAllStringSubmatch(string(src), -1)
-	if len(names) < 25 {
-		t.Fatalf("control reads %d names", len(names))
+	// Every field of the settings is set where no setting of the file has its zero value.
+	c.Roster.Discovery = "ask"
+	c.Groups[1].Stretch = 2
+	if fields := checkSet(t, "Settings", reflect.ValueOf(c.Settings())); fields < 25 {
+		t.Errorf("%d fields were checked", fields)
 	}
-	for _, n := range names {
-		name := n[2]
-		if n[1] != "" {
-			name = "groups.1." + name
+}
+
+// checkSet fails for each field that holds its zero value and returns the number of fields looked at. Of lists the entry is
+// checked that has all its fields set.
+func checkSet(t *testing.T, path string, v reflect.Value) (fields int) {
+	entries := map[string]int{"Settings.Groups": 1, "Settings.Tenants": 0}
+	if index, ok := entries[path]; ok {
+		return checkSet(t, path+"[]", v.Index(index))
+	}
+	if v.Kind() != reflect.Struct || strings.HasPrefix(v.Type().Name(), "Optional") {
+		if v.IsZero() {
+			t.Errorf("%s is not set", path)
 		}
-		if _, ok := s[name]; !ok && !strings.HasSuffix(name, ".") {
-			t.Errorf("control reads %q, which no setting gives", name)
+		return 1
+	}
+	for i := range v.NumField() {
+		if field := v.Type().Field(i); field.IsExported() {
+			fields += checkSet(t, path+"."+field.Name, v.Field(i))
 		}
 	}
+	return fields
 }
 
 func TestWhatReloadCannotChange(t *testing.T) {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -58,7 +58,7 @@
 	for i, v := range c.Tenants {
 		p.tenants[v.Name] = i
 	}
-	p.back = f.set.Is("limits.retry_after")
+	p.back = f.set.RetryAfter.Allowed
 	p.inHand = c.Limits.Requests
 	p.bodyMost = int64(f.Limits.MemoryMB * (1 << 20) * bodyShare)
 	p.most = max(8, f.Limits.Sockets/clientParts)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -34,6 +34,8 @@
 	mostOf          = 1e9     // a larger number in the settings is a mistake
 	openUsual       = 20000   // requests in flight where the settings tell nothing
 	streamsUsual    = 32      // attempts on a connection where the settings tell nothing
+	sloUsual        = 1.0     // s, of a model group where the settings tell nothing
+	timeoutUsual    = 60.0    // s, of a model group where the settings tell nothing
 )
 
 // File is the configuration that the platform hands to a dispatcher.
@@ -52,7 +54,8 @@
 
 	listen, changeLog netip.AddrPort
 	seed              uint64
-	set               control.Settings
+	values            control.SettingValues // the settings, without types
+	set               control.Settings      // those of them that the decisions read
 }
 
 // ReadFile reads and checks the configuration.
@@ -89,70 +92,81 @@
 	if f.Limits.MemoryMB < 1 || f.Limits.Sockets < 2*reserved {
 		return nil, fmt.Errorf("limits: %g MB and %d descriptors are too few", f.Limits.MemoryMB, f.Limits.Sockets)
 	}
-	if f.set, err = simwire.Settings(f.Settings); err != nil {
+	if f.values, err = simwire.ParseSettings(f.Settings); err != nil {
 		return nil, err
 	}
+	f.set = control.ParseSettings(f.values)
 	if err = f.check(); err != nil {
 		return nil, fmt.Errorf("settings: %s", strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
 	return f, nil
 }
 
-// check returns what in the settings can't be used. Zero is how they say that something is not told.
+// check returns an error for the first unusable settings. A zero counts as absent.
 func (f *File) check() error {
-	if f.set.Num("groups", 0) < 1 {
+	if f.values.Number("groups", 0) < 1 {
 		return errors.New("there is no model group")
 	}
 	if err := control.Check(f.set); err != nil {
 		return err
 	}
-	names := map[string]int{}
-	for i := range int(f.set.Num("groups", 0)) {
-		name := f.set.Text("groups." + strconv.Itoa(i) + ".name")
-		if j, twice := names[name]; name == "" || twice {
-			return fmt.Errorf("model group %d has the name %q, which is empty or that of group %d", i, name, j)
+	indexes := map[string]int{}
+	for i := range f.set.Groups {
+		name := f.groupName(i)
+		other, duplicate := indexes[name]
+		if name == "" || duplicate {
+			return fmt.Errorf("model group %d has the name %q, which is empty or that of group %d", i, name, other)
 		}
-		names[name] = i
+		indexes[name] = i
 	}
 	for _, name := range []string{"limits.open_cap", "limits.connect_timeout", "limits.conn_idle", "limits.streams_per_conn", "models.order_timeout"} {
-		if v, told := f.set[name]; told {
-			if n, ok := v.(float64); !ok || n < 0 || n > mostOf {
-				return &control.SettingError{Name: name, Told: v, Want: "a number that is not negative"}
-			}
+		value, present := f.values[name]
+		if !present {
+			continue
+		}
+		number, ok := value.(float64)
+		if !ok || number < 0 || number > mostOf {
+			return &control.SettingError{Name: name, Value: value, Want: "a number that is not negative"}
 		}
 	}
 	return nil
 }
 
-// positive returns a number of the settings, the fallback where it is not told.
+func (f *File) groupName(index int) string {
+	return f.values.Text("groups." + strconv.Itoa(index) + ".name")
+}
+
+// positive returns a number of the settings, the fallback where it is absent or zero.
 func (f *File) positive(name string, fallback float64) float64 {
-	if n := f.set.Num(name, 0); n > 0 {
+	if n := f.values.Number(name, 0); n > 0 {
 		return n
 	}
 	return fallback
 }
 
-// host is what the host needs of the settings.
+// drainGrace returns the time in seconds after which a change in the change log counts as known to the dispatcher.
+func (f *File) drainGrace() float64 { return f.values.Number("rules.drain_grace", 0) }
+
+// host returns the configuration of the host that follows from the settings.
 func (f *File) host() *config.Config {
 	c := config.Default()
-	s := f.set
-	c.Name, c.Log.Sample = f.Name, 0
-	c.Roster.Discovery = "push"
-	if s.Text("discovery") == "ask" {
-		c.Roster.Discovery = "ask"
-	}
-	for i := range int(s.Num("groups", 0)) {
-		at := "groups." + strconv.Itoa(i) + "."
-		c.Groups = append(c.Groups, config.Group{Name: s.Text(at + "name"), Effect: s.Text(at + "effect"), Scope: s.Text(at + "scope"),
-			Window: config.S(s.Num(at+"window", 0)), SLO: config.S(s.Num(at+"slo", 1)), Timeout: config.S(s.Num(at+"timeout", 60))})
-	}
-	for i := range int(s.Num("tenants", 0)) {
-		c.Tenants = append(c.Tenants, config.Tenant{Name: s.Text("tenants." + strconv.Itoa(i) + ".name")})
-	}
-	c.Report = nil
-	for i := range int(s.Num("load_report.fields", 0)) {
-		c.Report = append(c.Report, s.Text("load_report.fields."+strconv.Itoa(i)))
-	}
+	c.Name = f.Name
+	c.Log.Sample = 0
+	c.Roster.Discovery = f.set.Discovery.Mode.String()
+	for i, g := range f.set.Groups {
+		c.Groups = append(c.Groups, config.Group{
+			Name:    f.groupName(i),
+			Effect:  g.Effect.String(),
+			Scope:   g.Scope.String(),
+			Window:  config.S(g.Window),
+			SLO:     config.S(g.SLO.Or(sloUsual)),
+			Timeout: config.S(g.Timeout.Or(timeoutUsual)),
+		})
+	}
+	for i := range f.set.Tenants {
+		c.Tenants = append(c.Tenants, config.Tenant{Name: f.values.Text("tenants." + strconv.Itoa(i) + ".name")})
+	}
+	c.Report = f.set.LoadReportFields
 	c.Loads.Timeout = config.S(f.positive("models.order_timeout", c.Loads.Timeout.Seconds))
 	c.Limits.Requests = min(int(f.positive("limits.open_cap", openUsual)), int(f.Limits.MemoryMB*(1<<20)*handShare/eachInHand))
 	c.Limits.ConnectTimeout = config.S(f.positive("limits.connect_timeout", c.Limits.ConnectTimeout.Seconds))
@@ -166,7 +180,7 @@
 		name string
 		same bool
 	}{
-		{"name", f.Name == n.Name}, {"listen", f.Listen == n.Listen}, {"limits", f.Limits == n.Limits}, {"settings", maps.Equal(f.set, n.set)},
+		{"name", f.Name == n.Name}, {"listen", f.Listen == n.Listen}, {"limits", f.Limits == n.Limits}, {"settings", maps.Equal(f.values, n.values)},
 	} {
 		if !c.same {
 			fields = append(fields, c.name)
@@ -175,11 +189,11 @@
 	return fields
 }
 
-// timeout is the longest of the groups'.
+// timeout returns the longest timeout of the model groups.
 func (f *File) timeout() float64 {
-	most := 0.0
-	for i := range int(f.set.Num("groups", 0)) {
-		most = max(most, f.set.Num("groups."+strconv.Itoa(i)+".timeout", 0))
+	longest := 0.0
+	for _, g := range f.set.Groups {
+		longest = max(longest, g.Timeout.Or(0))
 	}
-	return most
+	return longest
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -495,7 +495,8 @@
 	good := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`,
 		log.srv.Listener.Addr(), rigSettings("load"))
 	f, err := parseFile([]byte(good))
-	if err != nil || f.seed != 0x1f || f.timeout() != 2 || f.set.Text("groups.2.effect") != "non-retriable" {
+	if err != nil || f.seed != 0x1f || f.timeout() != 2 || f.values.Text("groups.2.effect") != "non-retriable" ||
+		len(f.set.Groups) != 3 || f.set.Groups[0].Effect != control.Retriable || f.set.Groups[2].Effect != control.NonRetriable {
 		t.Errorf("%+v %v", f, err)
 	}
 	for _, bad := range []string{"", "{", strings.Replace(good, "127.0.0.1:0", "nowhere", 1), strings.Replace(good, `"1f"`, `"x"`, 1),
@@ -529,7 +530,7 @@
 		}
 	}
 	f, err = parseFile([]byte(strings.Replace(good, `"effect":"pure"`, `"effect":"pure","aim_stretch":4.5`, 1)))
-	if err != nil || f.set["groups.0.slo_stretch"] != 4.5 {
+	if err != nil || f.set.Groups[0].SLOStretch != 4.5 {
 		t.Errorf("%v %v", f, err)
 	}
 	t.Setenv("LB_CONFIG", t.TempDir()+"/none")
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -73,7 +73,7 @@
 		l.Close()
 		return nil, err
 	}
-	d.feed = newFeed(d.Gateway, f.set.Num("rules.drain_grace", 0), d.front.refuse, d.front.workers.resume)
+	d.feed = newFeed(d.Gateway, f.drainGrace(), d.front.refuse, d.front.workers.resume)
 	d.front.held = func() bool { return d.feed.held }
 	l.Defer(func() {
 		if err := d.feed.take(&f.Known); err != nil {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -26,19 +26,19 @@
 	"discovery": {"automatic": "push", "subscribe": "ask"},
 }
 
-// Settings reads the settings text, a JSON object, into a flat map: our names, dotted, list places as numbers, spans in
-// seconds, and the length of each list under its own name.
-func Settings(text []byte) (control.Settings, error) {
+// ParseSettings parses the settings text of the wire, a JSON object. Names and words are the project's own, and times are in
+// seconds.
+func ParseSettings(text []byte) (control.SettingValues, error) {
 	var root map[string]any
 	if err := json.Unmarshal(text, &root); err != nil {
 		return nil, fmt.Errorf("settings are not a JSON object: %w", err)
 	}
-	flat := control.Settings{}
+	flat := control.SettingValues{}
 	flatten(flat, "", "", root)
 	return flat, nil
 }
 
-func flatten(flat control.Settings, at, key string, v any) {
+func flatten(flat control.SettingValues, at, key string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, e := range v {
@@ -52,7 +52,7 @@
 			flatten(flat, join(at, name), name, e)
 		}
 	case []any:
-		flat[at] = control.Length(len(v))
+		flat[at] = control.ListLength(len(v))
 		for i, e := range v {
 			flatten(flat, join(at, strconv.Itoa(i)), key, e)
 		}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -179,13 +179,13 @@
 		if rd.err != nil {
 			return rd.err
 		}
-		s, err := Settings(text)
+		values, err := ParseSettings(text)
 		if err != nil {
 			return err
 		}
 		d := &dispatcher{number: number, origin: clock, out: &h.out}
 		h.all[number] = d
-		d.guard(func() { d.module = h.start(seed, s, d) })
+		d.guard(func() { d.module = h.start(seed, control.ParseSettings(values), d) })
 		h.touch(d, clock)
 		return nil
 	}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"fmt"
 	"io"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -51,7 +52,11 @@
 		in.Write(b)
 	}
 	err := Serve(&in, &out, func(seed uint64, s control.Settings, a control.Actions) control.Module {
-		log = append(log, fmt.Sprintf("start %d %v", seed, s))
+		settings := "defaults"
+		if !reflect.DeepEqual(s, control.Settings{}) {
+			settings = fmt.Sprintf("%+v", s)
+		}
+		log = append(log, fmt.Sprintf("start %d %s", seed, settings))
 		return &echo{act: a, log: &log, todo: todo}
 	})
 	return hex.EncodeToString(out.Bytes()), log, err
@@ -124,9 +129,9 @@
 }
 
 func TestSettingsInOurWords(t *testing.T) {
-	s, err := Settings([]byte(`{"request_classes":[{"aim_us":500000,"effect":"token","group":"cell"}],
+	s, err := ParseSettings([]byte(`{"request_classes":[{"aim_us":500000,"effect":"token","group":"cell"}],
 		"limits":{"max_attempts":6},"family_info":{"stays_loaded_us":8000000,"memory_mb_by_kind":[4]},"new_key":null}`))
-	if err != nil || s["groups"] != control.Length(1) || s.Num("groups", 0) != 1 || s["groups.0.slo"] != 0.5 || s["groups.0.effect"] != "deduped" ||
+	if err != nil || s["groups"] != control.ListLength(1) || s.Number("groups", 0) != 1 || s["groups.0.slo"] != 0.5 || s["groups.0.effect"] != "deduped" ||
 		s["groups.0.scope"] != "cell" || s["limits.max_attempts"] != 6.0 || s["models.keep"] != 8.0 {
 		t.Errorf("%v %v", s, err)
 	}
@@ -138,7 +143,7 @@
 		t.Errorf("count short by one: %q %v", log, err)
 	}
 	_, log, err = play(nil, frame(6, begin+"0c00"+begin+"0500 4d000000"))
-	if err != nil || strings.Join(log, ";") != "start 7 map[];at 0.000000;start 7 map[];at 0.000000;timer 77" {
+	if err != nil || strings.Join(log, ";") != "start 7 defaults;at 0.000000;start 7 defaults;at 0.000000;timer 77" {
 		t.Errorf("%q %v", log, err)
 	}
 }
@@ -189,11 +194,11 @@
 		`{"tenants":[{"quota_rps":"plenty"}]}`:  "tenants.0.quota",
 		`{"request_classes":[{"aim_us":-500}]}`: "groups.0.slo",
 	} {
-		s, err := Settings([]byte(text))
+		s, err := ParseSettings([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := control.Check(s); (err != nil) != (name != "") || err != nil && !strings.Contains(err.Error(), "setting "+name+" is") {
+		if err := control.Check(control.ParseSettings(s)); (err != nil) != (name != "") || err != nil && !strings.Contains(err.Error(), "setting "+name+" is") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
