--- /dev/null
+++ b/control/export_test.go
@@ -0,0 +1,37 @@
+package control
+
+import (
+	"fmt"
+	"strings"
+)
+
+// ResolvedSettings describes what a dispatcher makes of settings: a line for each resolved value, and for each problem.
+func ResolvedSettings(from Settings) []string {
+	s, problems := resolve(from)
+	var lines []string
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	add("tick=%g dispatchers=%g", s.tick, s.dispatchers)
+	add("discovery=%s ask_every=%g", s.discovery, s.askEvery)
+	add("cold_share=%g warm_after=%g", s.coldShare, s.warmAfter)
+	add("overload_factor=%g fall=%g", s.overloadFactor, s.fall)
+	add("on_miss=%s orders=%t keep=%g", s.onMiss, s.mayOrder, s.keepAlive)
+	add("load_window=%g load_few=%g load_share=%g", s.loadWindow, s.loadFew, s.loadShare)
+	add("max_attempts=%d hedging=%t cancel=%t", s.maxAttempts, s.hedging, s.cancel)
+	add("probes=%t price=%g", s.probing, s.probePrice)
+	add("retry_after=%t max_retry_after=%g", s.retryAfter, s.retryAfterMax)
+	add("fields=%q", s.reportFields)
+	for i, g := range s.groups {
+		add("group %d: effect=%s scope=%s window=%g slo=%g stretch=%g timeout=%g", i, g.effect, g.scope, g.window, g.slo, g.sloStretch, g.timeout)
+	}
+	add("quotas=%v", s.quotas)
+	for _, err := range problems.unusable {
+		add("unusable: %s", err)
+	}
+	for _, err := range problems.unknownWords {
+		add("unknown: %s", err)
+	}
+	for i, line := range lines {
+		lines[i] = strings.ReplaceAll(line, "\n", " ")
+	}
+	return lines
+}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"math"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -62,6 +63,59 @@
 	}
 }
 
+// TestZeroAndAbsent: of some settings a zero is a value, of the others it is the same as none.
+func TestZeroAndAbsent(t *testing.T) {
+	absent, _ := resolve(Settings{Groups: []GroupSettings{{}}, Tenants: []TenantSettings{{}}})
+	zero, problems := resolve(Settings{
+		Tick:      Some(0.0),
+		SlowStart: SlowStartSettings{InitialCapacity: Some(0.0)},
+		Loads:     LoadSettings{KeepAlive: Some(0.0)},
+		Groups:    []GroupSettings{{SLO: Some(0.0), Timeout: Some(0.0)}},
+		Tenants:   []TenantSettings{{Quota: Some(0.0)}},
+	})
+	if len(problems.unusable) > 0 {
+		t.Errorf("a zero is unusable: %v", problems.unusable)
+	}
+	if absent.tick != tickDefault || absent.coldShare != coldShareDefault || absent.keepAlive != never || absent.quotas[0] != never {
+		t.Errorf("absent: %+v", absent)
+	}
+	if zero.tick != 0 || zero.coldShare != shareMin || zero.keepAlive != 0 || zero.quotas[0] != 0 {
+		t.Errorf("zero: %+v", zero)
+	}
+	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].slo != sloDefault || zero.groups[0].timeout != timeoutDefault {
+		t.Errorf("groups: zero %+v, absent %+v", zero.groups[0], absent.groups[0])
+	}
+}
+
+// TestTypedSettingsThatCannotBeUsed gives values that the types allow: Check reports each but unknown modes by its name.
+func TestTypedSettingsThatCannotBeUsed(t *testing.T) {
+	_, problems := resolve(Settings{
+		Tick:             Some(math.NaN()),
+		Discovery:        DiscoverySettings{Mode: 7},
+		Attempts:         AttemptSettings{Max: 0.5},
+		LoadReportFields: make([]string, listMax+1),
+		Groups:           []GroupSettings{{Effect: 3, Scope: 9, SLO: Some(-1.0)}},
+		Tenants:          make([]TenantSettings, listMax+1),
+	})
+	names := func(errs []error) (list []string) {
+		for _, err := range errs {
+			var setting *SettingError
+			if errors.As(err, &setting) {
+				list = append(list, setting.Name)
+			}
+		}
+		return list
+	}
+	unusable := names(problems.unusable)
+	if want := []string{"tick", "limits.max_attempts", "load_report.fields", "groups.0.slo", "tenants"}; !slices.Equal(unusable, want) {
+		t.Errorf("unusable %q, want %q", unusable, want)
+	}
+	unknown := names(problems.unknownWords)
+	if want := []string{"discovery", "groups.0.effect", "groups.0.scope"}; !slices.Equal(unknown, want) {
+		t.Errorf("unknown %q, want %q", unknown, want)
+	}
+}
+
 // TestUnknownWords: the strictest default stands in place of a word that is not known, and the log says so once.
 func TestUnknownWords(t *testing.T) {
 	for name, v := range map[string]any{"discovery": "guess", "groups.0.effect": "purest", "groups.0.scope": 4.0, "models.on_miss": "ask"} {
