--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts dispatchers on the simulator's wire: batches on standard input, replies on standard output.
+// Command simadapter runs dispatchers for the simulator: it reads batches of events from standard input and writes the
+// replies to standard output.
 package main
 
 import (
@@ -10,10 +11,11 @@
 )
 
 func main() {
-	start := func(seed uint64, s control.Settings, a control.Actions) control.Module {
+	newModule := func(seed uint64, s control.Settings, a control.Actions) control.Module {
 		return control.New(seed, s, a)
 	}
-	if err := simwire.Serve(os.Stdin, os.Stdout, start); err != nil {
+	err := simwire.Serve(os.Stdin, os.Stdout, newModule)
+	if err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -8,94 +8,110 @@
 	"mastchute/control"
 )
 
-// reader takes fields off a frame; the first one that does not fit sets err, and all later ones read as
-// zero.
-type reader struct {
-	b    []byte
-	i    int
-	base int
-	err  error
+// recordReader reads the fields of records from the body of a batch. The first failure sets err; every later read returns
+// zero, so that a decoder may check err once at its end.
+type recordReader struct {
+	buf []byte // the body
+	pos int    // in buf
+	err error
 }
 
-func (r *reader) pos() int { return r.base + r.i }
+// offset returns the position in bytes from the start of the batch.
+func (r *recordReader) offset() int { return batchHeaderSize + r.pos }
 
-func (r *reader) bytes(n int) []byte {
-	if r.err == nil && n > len(r.b)-r.i {
-		r.err = fmt.Errorf("%d bytes wanted at byte %d, %d left in the frame", n, r.pos(), len(r.b)-r.i)
+func (r *recordReader) remaining() int { return len(r.buf) - r.pos }
+
+// fail sets err unless an earlier failure has set it.
+func (r *recordReader) fail(err error) {
+	if r.err == nil {
+		r.err = err
+	}
+}
+
+// bytes returns the next n bytes, which the body owns, and nil after a failure.
+func (r *recordReader) bytes(n int) []byte {
+	if n > r.remaining() {
+		r.fail(fmt.Errorf("%w: %d bytes wanted at byte %d, %d left in the batch", ErrTruncated, n, r.offset(), r.remaining()))
 	}
 	if r.err != nil {
 		return nil
 	}
-	r.i += n
-	return r.b[r.i-n : r.i]
+	start := r.pos
+	r.pos += n
+	return r.buf[start:r.pos]
 }
 
 var zeros [8]byte
 
-func (r *reader) fixed(n int) []byte {
-	if b := r.bytes(n); b != nil {
-		return b
+// fixed returns the next n bytes, at most eight, and zeros after a failure.
+func (r *recordReader) fixed(n int) []byte {
+	b := r.bytes(n)
+	if b == nil {
+		return zeros[:n]
 	}
-	return zeros[:n]
+	return b
 }
 
-func (r *reader) u8() uint8       { return r.fixed(1)[0] }
-func (r *reader) u16() uint16     { return binary.LittleEndian.Uint16(r.fixed(2)) }
-func (r *reader) u32() uint32     { return binary.LittleEndian.Uint32(r.fixed(4)) }
-func (r *reader) u64() uint64     { return binary.LittleEndian.Uint64(r.fixed(8)) }
-func (r *reader) micros() float64 { return float64(r.u32()) / micro }
+func (r *recordReader) uint8() uint8   { return r.fixed(1)[0] }
+func (r *recordReader) uint16() uint16 { return binary.LittleEndian.Uint16(r.fixed(2)) }
+func (r *recordReader) uint32() uint32 { return binary.LittleEndian.Uint32(r.fixed(4)) }
+func (r *recordReader) uint64() uint64 { return binary.LittleEndian.Uint64(r.fixed(8)) }
 
-// f32 reads a number; what is none or has no end counts as absent, which is 0.
-func (r *reader) f32() float64 {
-	if v := float64(math.Float32frombits(r.u32())); !math.IsNaN(v) && !math.IsInf(v, 0) {
-		return v
+// float32 returns a number, which may be infinite or none.
+func (r *recordReader) float32() float64 { return float64(math.Float32frombits(r.uint32())) }
+
+// seconds returns a duration, which is in microseconds on the wire.
+func (r *recordReader) seconds() control.Seconds { return float64(r.uint32()) / microsPerSecond }
+
+// finiteFloat32 returns a number, 0 in place of an infinite one or of none: on the wire 0 means absent.
+func (r *recordReader) finiteFloat32() float64 {
+	v := r.float32()
+	if math.IsNaN(v) || math.IsInf(v, 0) {
+		return 0
 	}
-	return 0
+	return v
 }
 
-// worker packs four bytes of address and the port into one id, in wire order.
-func (r *reader) worker() control.WorkerID {
+// worker returns the id of a worker: the four bytes of its address and its port, in the order of the wire.
+func (r *recordReader) worker() control.WorkerID {
 	b := r.fixed(6)
-	return control.WorkerID(binary.LittleEndian.Uint32(b)) | control.WorkerID(binary.LittleEndian.Uint16(b[4:]))<<32
+	address := binary.LittleEndian.Uint32(b)
+	port := binary.LittleEndian.Uint16(b[4:])
+	return control.WorkerID(address) | control.WorkerID(port)<<32
+}
+
+// results holds the results by their codes on the wire.
+var results = map[uint8]control.Result{
+	0:  control.Succeeded,
+	1:  control.Cancelled,
+	4:  control.TimedOut,
+	5:  control.ModelNotLoaded,
+	8:  control.AtCapacity,
+	9:  control.NotSent,
+	10: control.ConnectionReset,
+	13: control.WorkerError,
+	14: control.ConnectFailed,
 }
 
-// result turns an outcome code into ours.
-func (r *reader) result() control.Result {
-	switch c := r.u8(); c {
-	case 0:
-		return control.Succeeded
-	case 13:
-		return control.WorkerError
-	case 8:
-		return control.AtCapacity
-	case 4:
-		return control.TimedOut
-	case 14:
-		return control.ConnectFailed
-	case 10:
-		return control.ConnectionReset
-	case 1:
-		return control.Cancelled
-	case 9:
-		return control.NotSent
-	case 5:
-		return control.ModelNotLoaded
-	default:
-		if r.err == nil {
-			r.err = fmt.Errorf("unknown outcome %d at byte %d", c, r.pos()-1)
-		}
-		return control.WorkerError
+func (r *recordReader) result() control.Result {
+	code := r.uint8()
+	result, ok := results[code]
+	if !ok {
+		r.fail(fmt.Errorf("%w: unknown result %d at byte %d", ErrMalformed, code, r.offset()-1))
 	}
+	return result
 }
 
-func (r *reader) gauge() []float64 {
-	n := int(r.u8())
-	if n == 0 {
+// loadReport returns the values of a load report, nil if there is none. Values that are no numbers are kept: the decisions
+// ignore a report with one.
+func (r *recordReader) loadReport() []float64 {
+	count := int(r.uint8())
+	if count == 0 {
 		return nil
 	}
-	g := make([]float64, n)
-	for i := range g {
-		g[i] = float64(math.Float32frombits(r.u32())) // the decisions leave out a report with a value that is no number
+	report := make([]float64, count)
+	for i := range report {
+		report[i] = r.float32()
 	}
-	return g
+	return report
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -9,67 +9,101 @@
 	"mastchute/control"
 )
 
-// names turns the wire's setting names into ours; a name not listed keeps its own.
-var names = map[string]string{
-	"request_classes": "groups", "aim": "slo", "aim_stretch": "slo_stretch", "deadline": "timeout", "gain": "value", "group": "scope",
-	"peers_total": "dispatchers", "azs": "zones", "costs": "prices",
-	"parallel_tries": "hedging", "probing": "probes", "when_absent": "on_miss", "may_order": "orders",
-	"stays_loaded": "keep", "order_limit": "order_timeout", "marks_cold": "tells_warm",
-	"counts_alike": "tells_crowd", "load_period": "load_window", "load_floor": "load_few",
-	"late_worth": "late_value", "over_share_worth": "over_share_value", "quota_rps": "quota", "portion": "share",
-	"resolution": "tick", "family_info": "models", "late_fail": "late_failure", "worth_by": "value_by",
+// settingNames translates the wire's names of settings to the project's; other names are the same in both.
+var settingNames = map[string]string{
+	"aim":              "slo",
+	"aim_stretch":      "slo_stretch",
+	"azs":              "zones",
+	"costs":            "prices",
+	"counts_alike":     "tells_crowd",
+	"deadline":         "timeout",
+	"family_info":      "models",
+	"gain":             "value",
+	"group":            "scope",
+	"late_fail":        "late_failure",
+	"late_worth":       "late_value",
+	"load_floor":       "load_few",
+	"load_period":      "load_window",
+	"marks_cold":       "tells_warm",
+	"may_order":        "orders",
+	"order_limit":      "order_timeout",
+	"over_share_worth": "over_share_value",
+	"parallel_tries":   "hedging",
+	"peers_total":      "dispatchers",
+	"portion":          "share",
+	"probing":          "probes",
+	"quota_rps":        "quota",
+	"request_classes":  "groups",
+	"resolution":       "tick",
+	"stays_loaded":     "keep",
+	"when_absent":      "on_miss",
+	"worth_by":         "value_by",
 }
 
-// effects and words turn the wire's choice words into ours, for the one setting each that holds them.
-var words = map[string]map[string]string{
+// settingWords translates the wire's words for the modes that a setting may hold, by the project's name of the setting.
+var settingWords = map[string]map[string]string{
 	"effect":    {"pure": "retriable", "token": "deduped", "side_effect": "non-retriable"},
 	"discovery": {"automatic": "push", "subscribe": "ask"},
 }
 
-// ParseSettings parses the settings text of the wire, a JSON object. Names and words are the project's own, and times are in
-// seconds.
+// microsSuffix marks the wire's names of durations in microseconds.
+const microsSuffix = "_us"
+
+// ParseSettings parses the settings text of the wire, a JSON object. In the result names and words are the project's, and
+// durations are in seconds.
 func ParseSettings(text []byte) (control.SettingValues, error) {
 	var root map[string]any
-	if err := json.Unmarshal(text, &root); err != nil {
+	err := json.Unmarshal(text, &root)
+	if err != nil {
 		return nil, fmt.Errorf("settings are not a JSON object: %w", err)
 	}
-	flat := control.SettingValues{}
-	flatten(flat, "", "", root)
-	return flat, nil
+	values := control.SettingValues{}
+	flatten(values, "", "", root)
+	return values, nil
 }
 
-func flatten(flat control.SettingValues, at, key string, v any) {
-	switch v := v.(type) {
+// flatten adds a value to the flat form. path is its dotted name, and key the last part of it that is not an index.
+func flatten(values control.SettingValues, path, key string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, e := range v {
-			name, isSpan := strings.CutSuffix(k, "_us")
-			if ours, ok := names[name]; ok {
-				name = ours
-			}
-			if n, ok := e.(float64); ok && isSpan {
-				e = n / 1e6
-			}
-			flatten(flat, join(at, name), name, e)
+		for wireName, member := range value {
+			name, translated := translateMember(wireName, member)
+			flatten(values, joinPath(path, name), name, translated)
 		}
 	case []any:
-		flat[at] = control.ListLength(len(v))
-		for i, e := range v {
-			flatten(flat, join(at, strconv.Itoa(i)), key, e)
+		values[path] = control.ListLength(len(value))
+		for i, entry := range value {
+			flatten(values, joinPath(path, strconv.Itoa(i)), key, entry)
 		}
 	case string:
-		if ours, ok := words[key][v]; ok {
-			v = ours
+		word, ok := settingWords[key][value]
+		if !ok {
+			word = value
 		}
-		flat[at] = v
-	case nil:
+		values[path] = word
+	case nil: // the same as absent
 	default:
-		flat[at] = v
+		values[path] = value
+	}
+}
+
+// translateMember returns the project's name for a member of an object, and its value in the project's unit.
+func translateMember(wireName string, value any) (string, any) {
+	name, inMicros := strings.CutSuffix(wireName, microsSuffix)
+	translated, ok := settingNames[name]
+	if ok {
+		name = translated
+	}
+	micros, isNumber := value.(float64)
+	if inMicros && isNumber {
+		value = micros / microsPerSecond
 	}
+	return name, value
 }
 
-func join(at, name string) string {
-	if at == "" {
+func joinPath(path, name string) string {
+	if path == "" {
 		return name
 	}
-	return at + "." + name
+	return path + "." + name
 }
