--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// usualPlayer is a player under the usual settings, changed by change.
+// usualPlayer returns a player with the usual settings, which change may change.
 func usualPlayer(t *testing.T, change func(SettingValues)) *player {
 	p := &player{t: t, set: SettingValues{}, words: map[string]string{}}
 	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
@@ -28,9 +28,9 @@
 	return n
 }
 
-// TestSettingsThatCannotBeUsed gives one at a time: Check names it, New goes on with its default and says so once.
+// TestSettingsThatCannotBeUsed gives one at a time: Check names it, and New uses its default and keeps one error for the log.
 func TestSettingsThatCannotBeUsed(t *testing.T) {
-	for name, v := range map[string]any{
+	for name, value := range map[string]any{
 		"tick": -1.0, "rules.fall": -1.0, "rules.ask_every": math.NaN(), "rules.cold_share": 1.5, "rules.warm_after": -3.0,
 		"rules.overload_factor": -2.0, "models.keep": "long", "models.load_window": math.NaN(), "models.load_share": -0.1,
 		"dispatchers": -2.0, "limits.max_attempts": 0.5, "limits.hedging": 1.0, "limits.max_retry_after": math.Inf(-1),
@@ -38,14 +38,15 @@
 		"groups.0.slo": -0.2, "groups.0.timeout": -1.0,
 		"groups.0.slo_stretch": math.NaN(),
 	} {
-		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, "limits.retry_after": true, name: v})
-		var wrong *SettingError
-		if err := Check(s); !errors.As(err, &wrong) || wrong.Name != name {
-			t.Errorf("%s = %v: %v", name, v, err)
+		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, "limits.retry_after": true, name: value})
+		var setting *SettingError
+		err := Check(s)
+		if !errors.As(err, &setting) || setting.Name != name {
+			t.Errorf("%s = %v: %v", name, value, err)
 		}
 		d := New(1, s, quiet{})
 		if len(d.settingErrors) != 1 || len(d.groups) != 1 || len(d.tenants) != 0 {
-			t.Errorf("%s = %v: %d faults, %d groups, %d tenants", name, v, len(d.settingErrors), len(d.groups), len(d.tenants))
+			t.Errorf("%s = %v: %d errors, %d groups, %d tenants", name, value, len(d.settingErrors), len(d.groups), len(d.tenants))
 		}
 	}
 	if err := Check(ParseSettings(SettingValues{"groups": 1.0, "a.new.setting": "word"})); err != nil {
@@ -58,7 +59,7 @@
 	}
 	for _, name := range []string{"rules.fall", "rules.ask_every", "rules.overload_factor", "dispatchers", "limits.max_attempts", "groups.0.slo", "groups.0.timeout"} {
 		if err := Check(ParseSettings(SettingValues{"groups": 1.0, name: 0.0})); err != nil {
-			t.Errorf("zero is how the wire says that nothing is told: %v", err)
+			t.Errorf("a zero, which the wire writes for absent: %v", err)
 		}
 	}
 }
@@ -116,32 +117,33 @@
 	}
 }
 
-// TestUnknownWords: the strictest default stands in place of a word that is not known, and the log says so once.
+// TestUnknownWords: an unknown word has the strictest default and is logged once.
 func TestUnknownWords(t *testing.T) {
-	for name, v := range map[string]any{"discovery": "guess", "groups.0.effect": "purest", "groups.0.scope": 4.0, "models.on_miss": "ask"} {
-		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, name: v})
-		if err := Check(s); err != nil {
-			t.Errorf("%s = %v ends the start: %v", name, v, err)
+	for name, value := range map[string]any{"discovery": "guess", "groups.0.effect": "purest", "groups.0.scope": 4.0, "models.on_miss": "ask"} {
+		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, name: value})
+		err := Check(s)
+		if err != nil {
+			t.Errorf("%s = %v prevents the start: %v", name, value, err)
 		}
 		log := &logged{}
 		d := New(1, s, log)
 		d.Reconcile()
 		d.Reconcile()
 		if len(log.lines) != 1 || !strings.Contains(log.lines[0], name) || d.groups[0].effect != NonRetriable {
-			t.Errorf("%s = %v: %q, %s", name, v, log.lines, d.groups[0].effect)
+			t.Errorf("%s = %v: %q, %s", name, value, log.lines, d.groups[0].effect)
 		}
 	}
 }
 
-// TestColdWorkerUnderOddSettings sends forty requests to a worker that started a moment ago: where the figures of the
-// rule are missing or can't be used, it gets no more than under the usual ones.
+// TestColdWorkerUnderOddSettings sends forty requests to a worker that has just started: where the settings of slow start
+// are missing or unusable, it gets no more attempts than with the usual ones.
 func TestColdWorkerUnderOddSettings(t *testing.T) {
 	for name, change := range map[string]func(SettingValues){
-		"usual":           func(SettingValues) {},
-		"no cold share":   func(s SettingValues) { delete(s, "rules.cold_share") },
-		"no time to fall": func(s SettingValues) { s["rules.fall"] = 0.0 },
-		"negative factor": func(s SettingValues) { s["rules.overload_factor"] = -3.0 },
-		"no dispatchers":  func(s SettingValues) { s["dispatchers"] = 0.0 },
+		"usual":              func(SettingValues) {},
+		"no cold share":      func(s SettingValues) { delete(s, "rules.cold_share") },
+		"no overload window": func(s SettingValues) { s["rules.fall"] = 0.0 },
+		"negative factor":    func(s SettingValues) { s["rules.overload_factor"] = -3.0 },
+		"no dispatchers":     func(s SettingValues) { s["dispatchers"] = 0.0 },
 	} {
 		p := usualPlayer(t, change)
 		p.play("wait 5")
@@ -154,8 +156,8 @@
 	}
 }
 
-// TestValuesThatAreNoNumbers hands in figures that are no numbers: the request is answered all the same, and a report
-// with one changes nothing.
+// TestValuesThatAreNoNumbers gives infinite values and values that are no numbers: the request is answered all the same,
+// and a load report with one of them changes nothing.
 func TestValuesThatAreNoNumbers(t *testing.T) {
 	for _, q := range []Request{{Deadline: math.NaN()}, {Deadline: math.Inf(1)}, {Deadline: 3, LoadTimeHint: math.Inf(1)},
 		{Deadline: 3, LoadTimeHint: math.NaN(), WorkHint: math.NaN()}, {Deadline: math.Inf(-1)}} {
@@ -193,7 +195,7 @@
 	}
 }
 
-// logged keeps what is logged.
+// logged keeps the log lines.
 type logged struct {
 	quiet
 	lines []string
--- /dev/null
+++ b/internal/platform/config_test.go
@@ -0,0 +1,65 @@
+package platform
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"mastchute/control"
+	"mastchute/internal/config"
+)
+
+// parseSettings parses a configuration with the given settings text.
+func parseSettings(t *testing.T, settings string) *File {
+	t.Helper()
+	f, err := parseFile(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},
+	"changelog":"127.0.0.1:1","known":{"seq":0,"results":[]},"settings":%s}`, settings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return f
+}
+
+// TestHostConfiguration: the host has the settings as they are written, also a zero; where they are absent it has defaults.
+func TestHostConfiguration(t *testing.T) {
+	f := parseSettings(t, `{"request_classes":[{"name":"absent"},{"name":"zero","aim_us":0,"deadline_us":0},
+		{"name":"unknown","effect":"odd","group":"region"},{"name":"all","effect":"token","group":"zone","window_us":2000000,"aim_us":250000,"deadline_us":3000000}],
+		"tenants":[{"name":"north"},{}],"load_report":{"fields":["queue",5]},"discovery":"subscribe","rules":{"drain_grace_us":1500000},
+		"limits":{"conn_idle_us":0,"connect_timeout_us":125000,"retry_after":true},"family_info":{"order_limit_us":4000000}}`)
+	c := f.host()
+	if want := []config.Group{
+		{Name: "absent", Effect: "non-retriable", SLO: config.S(1), Timeout: config.S(60)},
+		{Name: "zero", Effect: "non-retriable"},
+		{Name: "unknown", Effect: "non-retriable", SLO: config.S(1), Timeout: config.S(60)},
+		{Name: "all", Effect: "deduped", Scope: "zone", Window: config.S(2), SLO: config.S(0.25), Timeout: config.S(3)},
+	}; !slices.Equal(c.Groups, want) {
+		t.Errorf("groups %+v, want %+v", c.Groups, want)
+	}
+	if len(c.Tenants) != 2 || c.Tenants[0].Name != "north" || !slices.Equal(c.Report, []string{"queue", ""}) {
+		t.Errorf("tenants %v, report %q", c.Tenants, c.Report)
+	}
+	if c.Roster.Discovery != "ask" || c.Limits.ConnectTimeout.Seconds != 0.125 || c.Limits.WorkerIdleTimeout.Seconds != 15 || c.Loads.Timeout.Seconds != 4 {
+		t.Errorf("discovery %s, limits %+v, loads %+v", c.Roster.Discovery, c.Limits, c.Loads)
+	}
+	if f.drainGrace() != 1.5 || f.timeout() != 3 || !f.set.RetryAfter.Allowed || f.set.Discovery.Mode != control.DiscoverySubscribe {
+		t.Errorf("drain grace %g, longest timeout %g, settings %+v", f.drainGrace(), f.timeout(), f.set)
+	}
+}
+
+// TestChangedSettings: every changed setting is noticed, also one that is not known; one that is null is the same as absent.
+func TestChangedSettings(t *testing.T) {
+	const before = `{"request_classes":[{"name":"read"}],"limits":{"open_cap":5}}`
+	for after, changed := range map[string]bool{
+		before: false,
+		`{"limits":{"open_cap":5},"request_classes":[{"name":"read"}],"brand_new":null}`: false,
+		`{"request_classes":[{"name":"read"}],"limits":{"open_cap":6}}`:                  true,
+		`{"request_classes":[{"name":"read"}],"limits":{"open_cap":5},"brand_new":1}`:    true,
+		`{"request_classes":[{"name":"read","aim_us":0}],"limits":{"open_cap":5}}`:       true,
+		`{"request_classes":[{"name":"read"},{"name":"x"}],"limits":{"open_cap":5}}`:     true,
+	} {
+		got := parseSettings(t, before).differs(parseSettings(t, after))
+		if slices.Contains(got, "settings") != changed {
+			t.Errorf("%s: %q differ", after, got)
+		}
+	}
+}
