--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -3,48 +3,54 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"syscall"
 	"testing"
 	"time"
 )
 
-func TestPassing(t *testing.T) {
-	for err, want := range map[error]bool{fmt.Errorf("listen: %w", syscall.ENOBUFS): true, syscall.EACCES: false, errors.New("x"): false, nil: false} {
-		if IsTransient(err) != want {
-			t.Errorf("%v: %v", err, !want)
+func TestIsTransient(t *testing.T) {
+	for err, want := range map[error]bool{
+		fmt.Errorf("listen: %w", syscall.ENOBUFS): true,
+		syscall.EACCES:  false,
+		errors.New("x"): false,
+		nil:             false,
+	} {
+		if got := IsTransient(err); got != want {
+			t.Errorf("IsTransient(%v) = %v, want %v", err, got, want)
 		}
 	}
 }
 
 func TestRetryEnds(t *testing.T) {
 	now := time.Now()
-	r := NewRetry(now, 1)
-	tries := 0
-	for ; tries < 100; tries++ {
-		wait, ok := r.Next(now)
+	backoff := NewRetry(now, 1)
+	retries := 0
+	for ; retries < 100; retries++ {
+		delay, ok := backoff.Next(now)
 		if !ok {
 			break
 		}
-		now = now.Add(wait)
+		now = now.Add(delay)
 	}
-	if tries < 5 || tries > 15 {
-		t.Errorf("%d tries in a second", tries)
+	if retries < 5 || retries > 15 {
+		t.Errorf("%d retries in a second, want 5 to 15", retries)
 	}
 	if _, ok := (&Retry{}).Next(now); ok {
-		t.Error("the zero value tries")
+		t.Error("the zero value has a retry")
 	}
 }
 
-// Whatever the deadline, clients are served while they come, and the end is before the kill where that is possible.
+// Whatever the deadline, clients are served while they connect, and the end precedes the kill where that is possible.
 func TestPlanStop(t *testing.T) {
 	times := StopTimes{ClientArrivalSpan: 0.6, MaxServeSpan: 0.75, MaxDeadline: 3, KillDelay: 0.7, KillMargin: 0.15}
-	for _, c := range []struct{ deadline, serve, end float64 }{{2, 0.75, 2.55}, {60, 0.75, 3.55}, {0.08, 0.63, 0.63}, {0.01, 0.6, 0.56}} {
-		p := PlanStop(times, c.deadline)
-		if d := p.ServeUntil - c.serve; d > 1e-9 || d < -1e-9 {
-			t.Errorf("deadline %g: serves %g s, want %g", c.deadline, p.ServeUntil, c.serve)
+	for _, c := range []struct{ deadline, serveUntil, answerBy float64 }{{2, 0.75, 2.55}, {60, 0.75, 3.55}, {0.08, 0.63, 0.63}, {0.01, 0.6, 0.56}} {
+		plan := PlanStop(times, c.deadline)
+		if math.Abs(plan.ServeUntil-c.serveUntil) > 1e-9 {
+			t.Errorf("deadline %g: serves until %g s, want %g", c.deadline, plan.ServeUntil, c.serveUntil)
 		}
-		if d := p.AnswerBy - c.end; d > 1e-9 || d < -1e-9 {
-			t.Errorf("deadline %g: ends at %g s, want %g", c.deadline, p.AnswerBy, c.end)
+		if math.Abs(plan.AnswerBy-c.answerBy) > 1e-9 {
+			t.Errorf("deadline %g: answers by %g s, want %g", c.deadline, plan.AnswerBy, c.answerBy)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lifecycle/signals.go
@@ -0,0 +1,65 @@
+package lifecycle
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+)
+
+// Signals are the signals that a dispatcher handles, each kind in a channel of its own with room for one: a burst of one
+// kind drops no other, and a pending one stands for all of its kind that arrived since.
+type Signals struct {
+	Stop   chan os.Signal // SIGTERM, SIGINT
+	Reload chan os.Signal // SIGHUP
+	Dump   chan os.Signal // SIGUSR1: dump the flight recorder
+}
+
+// NewSignals returns Signals that receive nothing until Notify.
+func NewSignals() *Signals {
+	return &Signals{Stop: make(chan os.Signal, 1), Reload: make(chan os.Signal, 1), Dump: make(chan os.Signal, 1)}
+}
+
+// Notify starts delivery of the process's signals. It also ignores SIGPIPE, so that a closed log reader does not end the
+// process.
+func (s *Signals) Notify() {
+	signal.Ignore(syscall.SIGPIPE)
+	signal.Notify(s.Stop, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.Reload, syscall.SIGHUP)
+	signal.Notify(s.Dump, syscall.SIGUSR1)
+}
+
+// Close stops the delivery that Notify started.
+func (s *Signals) Close() {
+	signal.Stop(s.Stop)
+	signal.Stop(s.Reload)
+	signal.Stop(s.Dump)
+}
+
+// AwaitResult is the reason why Await returned.
+type AwaitResult uint8
+
+// The reasons.
+const (
+	RetryDue         AwaitResult = iota // the delay has passed: retry now
+	RetriesExhausted                    // no retry is left; Await returned at once
+	StopRequested                       // Stop received a signal
+	ReloadRequested                     // the reload channel received a signal
+)
+
+// Await blocks until the next retry is due, at most maxDelay seconds, or until a stop signal or a signal on reload
+// arrives. A nil reload is never received from.
+func (s *Signals) Await(backoff *Retry, maxDelay float64, reload <-chan os.Signal) AwaitResult {
+	delay, ok := backoff.Next(time.Now())
+	if !ok {
+		return RetriesExhausted
+	}
+	select {
+	case <-s.Stop:
+		return StopRequested
+	case <-reload:
+		return ReloadRequested
+	case <-time.After(min(delay, seconds(maxDelay))):
+		return RetryDue
+	}
+}
