--- /dev/null
+++ b/internal/app/dispatcher.go
@@ -0,0 +1,100 @@
+package app
+
+import (
+	"errors"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"mastchute/control"
+	"mastchute/internal/admin"
+	"mastchute/internal/config"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+	"mastchute/internal/lifecycle"
+)
+
+const startRetrySpan = 5.0 // s for which a start that failed for a transient cause is retried
+
+// errStopRequested is returned if a stop signal arrives before the dispatcher could start.
+var errStopRequested = errors.New("stop requested before start")
+
+// dispatcher is a running dispatcher. Its fields are set before the event loop runs and do not change afterwards.
+type dispatcher struct {
+	gateway   *gateway.Gateway // owned by the event loop
+	admin     *admin.Admin     // nil if the settings turn it off
+	loop      *eventloop.Loop
+	cfg       *config.Config // as of the start
+	log       zerolog.Logger
+	loopEnded chan error // receives the event loop's error, once
+}
+
+// newDispatcher opens the dispatcher's listeners and runs its event loop and its admin interface on goroutines of their
+// own. After an error nothing of it is left open.
+func newDispatcher(cfg *config.Config, log zerolog.Logger) (*dispatcher, error) {
+	loop, err := eventloop.New(cfg.Limits.Connections)
+	if err != nil {
+		return nil, err
+	}
+	gw, err := gateway.NewHTTP(loop, cfg, log, newControlModule)
+	if err != nil {
+		loop.Close()
+		return nil, err
+	}
+	d := &dispatcher{gateway: gw, loop: loop, cfg: cfg, log: log, loopEnded: make(chan error, 1)}
+	if cfg.Admin != "off" {
+		d.admin, err = admin.New(gw, cfg.Admin)
+		if err != nil {
+			loop.Close()
+			return nil, err
+		}
+		go d.admin.Serve()
+	}
+	go func() { d.loopEnded <- loop.Run() }()
+	return d, nil
+}
+
+func newControlModule(seed uint64, settings control.Settings, actions control.Actions) control.Module {
+	return control.New(seed, settings, actions)
+}
+
+// startWithRetry starts a dispatcher, again if the failure is transient. It returns errStopRequested if a stop signal
+// arrives between two attempts.
+func startWithRetry(cfg *config.Config, log zerolog.Logger, signals *lifecycle.Signals) (*dispatcher, error) {
+	backoff := lifecycle.NewRetry(time.Now(), startRetrySpan)
+	for {
+		d, err := newDispatcher(cfg, log)
+		if err == nil || !lifecycle.IsTransient(err) {
+			return d, err
+		}
+		switch signals.Await(&backoff, startRetrySpan, nil) {
+		case lifecycle.RetriesExhausted:
+			return nil, err
+		case lifecycle.StopRequested:
+			return nil, errStopRequested
+		}
+	}
+}
+
+// Stop starts a graceful shutdown: requests in flight have grace seconds to finish. A second call shortens the grace
+// period. It is safe to call from any goroutine.
+func (d *dispatcher) Stop(grace float64) { d.loop.Post(func() { d.gateway.Stop(grace) }) }
+
+// shutDown closes what outlives the event loop, and returns the exit code. loopErr is the loop's error.
+func (d *dispatcher) shutDown(loopErr error) int {
+	if d.admin != nil {
+		d.admin.Close()
+	}
+	if loopErr != nil {
+		d.log.Error().Err(loopErr).Msg("event loop failed")
+		return ExitCrash
+	}
+	exit := d.gateway.ExitStatus()
+	switch {
+	case exit.PanicMessage != "":
+		return ExitCrash
+	case exit.FailedRequests > 0:
+		return ExitStopped
+	}
+	return ExitOK
+}
--- /dev/null
+++ b/internal/app/workerfile.go
@@ -0,0 +1,69 @@
+package app
+
+import (
+	"crypto/sha256"
+	"os"
+
+	"mastchute/internal/config"
+	"mastchute/internal/gateway"
+	"mastchute/internal/membership"
+)
+
+// workerFileWatcher polls the worker file and applies it whenever its content has changed. While the file cannot be
+// used, the list read last stays in force. The goroutine of run owns it.
+type workerFileWatcher struct {
+	dispatcher *dispatcher
+	file       string // empty: there is no worker file
+
+	applied   [sha256.Size]byte // hash of the content applied last
+	lastError string            // the failure reported last: each is reported once, not at every poll
+}
+
+// check reads the file and applies it if its content differs from the one applied last.
+func (w *workerFileWatcher) check() {
+	if w.file == "" {
+		return
+	}
+	text, err := os.ReadFile(w.file)
+	if err != nil {
+		w.reportError(err)
+		return
+	}
+	hash := sha256.Sum256(text)
+	if hash == w.applied {
+		w.lastError = ""
+		return
+	}
+	entries, err := parseWorkerFile(w.file, text)
+	if err != nil {
+		w.reportError(err)
+		return
+	}
+	w.applied = hash
+	w.lastError = ""
+	gw := w.dispatcher.gateway
+	w.dispatcher.loop.Post(func() {
+		err := gw.ReplaceWorkers(membership.SourceFile, entries)
+		if err != nil {
+			gw.WorkerListFailed(err)
+		}
+	})
+}
+
+func parseWorkerFile(file string, text []byte) ([]membership.Entry, error) {
+	workers, err := config.ParseWorkers(file, text)
+	if err != nil {
+		return nil, err
+	}
+	return gateway.MembershipEntries(workers)
+}
+
+// reportError counts and logs a failure, and notifies the decisions, unless it is the one reported last.
+func (w *workerFileWatcher) reportError(err error) {
+	message := err.Error()
+	if message == w.lastError {
+		return
+	}
+	w.lastError = message
+	w.dispatcher.loop.Post(func() { w.dispatcher.gateway.WorkerListFailed(err) })
+}
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -47,9 +47,9 @@
 	ReloadRequested                     // the reload channel received a signal
 )
 
-// Await blocks until the next retry is due, at most maxDelay seconds, or until a stop signal or a signal on reload
+// Await blocks until the next retry is due, at most maxWait seconds, or until a stop signal or a signal on reload
 // arrives. A nil reload is never received from.
-func (s *Signals) Await(backoff *Retry, maxDelay float64, reload <-chan os.Signal) AwaitResult {
+func (s *Signals) Await(backoff *Retry, maxWait float64, reload <-chan os.Signal) AwaitResult {
 	delay, ok := backoff.Next(time.Now())
 	if !ok {
 		return RetriesExhausted
@@ -59,7 +59,7 @@
 		return StopRequested
 	case <-reload:
 		return ReloadRequested
-	case <-time.After(min(delay, seconds(maxDelay))):
+	case <-time.After(min(delay, seconds(maxWait))):
 		return RetryDue
 	}
 }
