--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -11,7 +11,7 @@
 
 const reloadRetrySpan = 10.0 // s for which a reload that failed is retried
 
-// reloadable are the settings that a reload applies; config.Config.Changed names the others that differ.
+// reloadable are the settings that a reload applies; config.Config.RestartRequired names the others that differ.
 var reloadable = []string{"workers", "models", "log.level", "log.sample", "roster.file"}
 
 // reloader reads the settings file again and applies what can change in service. A file that cannot be used changes
@@ -76,7 +76,7 @@
 func (r *reloader) apply(cfg *config.Config, workers []membership.Entry) {
 	d := r.dispatcher
 	log := withLevel(d.log, cfg.Log)
-	d.log.Info().Strs("applied", reloadable).Strs("need_restart", d.cfg.Changed(cfg)).Msg("settings reloaded")
+	d.log.Info().Strs("applied", reloadable).Strs("need_restart", d.cfg.RestartRequired(cfg)).Msg("settings reloaded")
 	d.loop.Post(func() {
 		err := d.gateway.ReplaceWorkers(membership.SourceConfig, workers)
 		if err != nil {
--- /dev/null
+++ b/internal/config/check_traffic.go
@@ -0,0 +1,92 @@
+package config
+
+import (
+	"fmt"
+	"math"
+	"path"
+
+	"mastchute/control"
+)
+
+const maxGroups = 256
+
+// groups checks the model groups, and returns their indexes by name.
+func (c *checker) groups(groups []Group) map[string]int {
+	if len(groups) == 0 {
+		c.report("groups", "there is none: write at least one model group, with name, effect, slo and timeout")
+	}
+	c.between("groups", float64(len(groups)), 0, maxGroups, "")
+	names := map[string]int{}
+	for i := range groups {
+		prefix := fmt.Sprintf("groups[%d]", i)
+		c.unique(prefix+".name", groups[i].Name, names, i)
+		c.group(prefix, &groups[i])
+	}
+	return names
+}
+
+func (c *checker) group(prefix string, group *Group) {
+	c.oneOf(prefix+".effect", group.Effect, "retriable", "deduped", "non-retriable")
+	c.duration(prefix+".slo", group.SLO, 0.001, 3600)
+	c.duration(prefix+".timeout", group.Timeout, 0.05, 3600)
+	if group.SLO.Seconds > group.Timeout.Seconds {
+		c.report(prefix+".slo", "%gs is longer than the timeout of %gs: nothing could be late", group.SLO.Seconds, group.Timeout.Seconds)
+	}
+	c.deduplication(prefix, group)
+	c.between(prefix+".slo_stretch", group.Stretch, 0, 1e6, "")
+	if group.Value < 0 || math.IsNaN(group.Value) {
+		c.report(prefix+".value", "write a number that is not negative")
+	}
+}
+
+// deduplication checks that scope and window are written for deduped groups, and for these only.
+func (c *checker) deduplication(prefix string, group *Group) {
+	if group.Effect != "deduped" {
+		if group.Scope != "" || group.Window.Seconds > 0 {
+			c.report(prefix+".effect", "scope and window are for deduped groups only: leave them out, or write effect: deduped")
+		}
+		return
+	}
+	c.oneOf(prefix+".scope", group.Scope, "all", "zone", "cell")
+	if group.Window.Seconds <= 0 {
+		c.report(prefix+".window", "is missing: write for how long workers drop a repeat, such as 4s")
+	}
+}
+
+func (c *checker) tenants(tenants []Tenant) {
+	names := map[string]int{}
+	for i, tenant := range tenants {
+		prefix := fmt.Sprintf("tenants[%d]", i)
+		c.unique(prefix+".name", tenant.Name, names, i)
+		c.between(prefix+".quota", tenant.Quota, 0, 1e9, "")
+	}
+}
+
+// models checks the models; groups has the names of the model groups.
+func (c *checker) models(models []Model, groups map[string]int) {
+	names := map[string]int{}
+	nameByID := map[control.ModelID]string{}
+	for i, model := range models {
+		prefix := fmt.Sprintf("models[%d]", i)
+		c.unique(prefix+".name", model.Name, names, i)
+		if _, err := path.Match(model.Name, ""); err != nil {
+			c.report(prefix+".name", "%q is no pattern: * stands for any run, ? for one character, [a-z] for a range", model.Name)
+		}
+		if _, known := groups[model.Group]; !known {
+			c.report(prefix+".group", "%q is no model group of this file: write one of groups[].name", model.Group)
+		}
+		c.between(prefix+".lanes", model.Lanes, 0, 1e6, "")
+		checkUniqueID(c, prefix+".name", model.Name, ModelID(model.Name), nameByID)
+	}
+	if len(models) == 0 {
+		c.report("models", "there is none: write name and group of each model, or of all by a pattern such as \"*\"")
+	}
+}
+
+// checkUniqueID checks that the hash of a name, which serves as its id, is not that of another name as well.
+func checkUniqueID[ID comparable](c *checker, settingPath, name string, id ID, nameByID map[ID]string) {
+	if other, taken := nameByID[id]; taken && other != name {
+		c.report(settingPath, "its id is that of %q by chance: rename one", other)
+	}
+	nameByID[id] = name
+}
--- /dev/null
+++ b/internal/config/check_workers.go
@@ -0,0 +1,43 @@
+package config
+
+import (
+	"fmt"
+	"slices"
+
+	"mastchute/control"
+)
+
+const maxWorkers = 10000
+
+// discovery checks that workers can become known, and how.
+func (c *checker) discovery(cfg *Config) {
+	c.workers(cfg.Workers)
+	if len(cfg.Workers) == 0 && cfg.Roster.File == "" && cfg.Admin == "off" {
+		c.report("workers", "there is none, and no roster.file or admin interface to learn of any")
+	}
+	c.oneOf("roster.discovery", cfg.Roster.Discovery, "push", "ask")
+	c.duration("roster.every", cfg.Roster.Every, 0.05, 3600)
+}
+
+// workers checks the workers of a settings file or of a worker file.
+func (c *checker) workers(workers []Worker) {
+	if len(workers) > maxWorkers {
+		c.report("workers", "%d are too many: %d at most", len(workers), maxWorkers)
+	}
+	names := map[string]int{}
+	addresses := map[string]int{}
+	nameByID := map[control.WorkerID]string{}
+	for i, worker := range workers {
+		prefix := fmt.Sprintf("workers[%d]", i)
+		c.unique(prefix+".name", worker.Name, names, i)
+		if isAddress(worker.Address) {
+			c.unique(prefix+".address", worker.Address, addresses, i)
+		} else {
+			c.report(prefix+".address", "%q is no address: write IP:PORT, such as 127.0.0.1:9001", worker.Address)
+		}
+		if !slices.Contains([]string{"", "ready", "draining", "gone"}, worker.State) {
+			c.report(prefix+".state", "%q is not known: write ready, draining, gone", worker.State)
+		}
+		checkUniqueID(c, prefix+".name", worker.Name, WorkerID(worker.Name), nameByID)
+	}
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the settings of a dispatcher from YAML, checks them, and turns them into what the decisions
-// are told (control.Settings). Nothing is guessed: what is unknown, out of range, contradictory or named twice is
-// refused with its line and column and with what to write instead.
+// Package config reads the settings of a dispatcher from YAML, checks them and converts them to control.Settings. It is
+// strict: a key that is unknown, or a value that is out of range, contradictory or given twice is a Problem with its line
+// and column and with what to write instead. There is no fallback for a value that cannot be used.
 package config
 
 import (
@@ -12,12 +12,13 @@
 	"mastchute/control"
 )
 
-// Config is a whole settings file. docs/operators.md describes each setting.
+// Config holds the settings of a dispatcher. docs/operators.md describes each of them; the comments here name units and
+// what a key does not say. A Config that Load or Parse returned is not changed afterwards.
 type Config struct {
-	Name        string   `yaml:"name"`
+	Name        string   `yaml:"name"` // begins the ids of this dispatcher's requests
 	Listen      string   `yaml:"listen"`
-	Admin       string   `yaml:"admin"`
-	Seed        uint64   `yaml:"seed"`
+	Admin       string   `yaml:"admin"` // address, or "off"
+	Seed        uint64   `yaml:"seed"`  // of random decisions; 0 for one from the clock
 	Dispatchers int      `yaml:"dispatchers"`
 	Tick        Duration `yaml:"tick"`
 	StopGrace   Duration `yaml:"stop_grace"`
@@ -30,45 +31,45 @@
 	Rules       Rules    `yaml:"rules"`
 	Loads       Loads    `yaml:"loads"`
 	Attempts    Attempts `yaml:"forwards"`
-	Report      []string `yaml:"load_report"`
+	Report      []string `yaml:"load_report"` // the fields of a worker's load report, in order
 	Limits      Limits   `yaml:"limits"`
 }
 
-// Log says what is logged and how.
+// Log holds the settings of the log.
 type Log struct {
 	Level  string `yaml:"level"`
 	Format string `yaml:"format"`
-	Sample int    `yaml:"sample"` // one final answer of so many is logged at info level; 0 logs none
+	Sample int    `yaml:"sample"` // one response of so many is logged at info level; 0 logs none
 }
 
-// Group is a model group: models with the same promises.
+// Group is a model group: models with the same latency objective, timeout and effect of a repetition.
 type Group struct {
 	Name    string   `yaml:"name"`
-	Effect  string   `yaml:"effect"`
-	Scope   string   `yaml:"scope"`
-	Window  Duration `yaml:"window"`
+	Effect  string   `yaml:"effect"` // what a second run of a request does
+	Scope   string   `yaml:"scope"`  // deduped only: the workers that share their idempotency keys
+	Window  Duration `yaml:"window"` // deduped only: workers drop a repetition for so long
 	SLO     Duration `yaml:"slo"`
 	Timeout Duration `yaml:"timeout"`
-	Value   float64  `yaml:"value"`
-	Stretch float64  `yaml:"slo_stretch"` // the SLO time is longer by so much of a request's own work
+	Value   float64  `yaml:"value"`       // priority weight of a request
+	Stretch float64  `yaml:"slo_stretch"` // the latency objective grows by this multiple of a request's own work
 }
 
-// Tenant has a share of the traffic.
+// Tenant is a group of clients with a quota.
 type Tenant struct {
 	Name  string  `yaml:"name"`
-	Quota float64 `yaml:"quota"` // requests a second through all dispatchers; 0 for no share
+	Quota float64 `yaml:"quota"` // requests a second through all dispatchers; 0 for no quota
 }
 
-// Model is one model, or by a pattern several. The first that fits holds.
+// Model describes one model or, if its name is a pattern, several. The first entry that matches a model's name applies.
 type Model struct {
 	Name   string   `yaml:"name"`
 	Group  string   `yaml:"group"`
-	Memory Size     `yaml:"memory"`
-	Lanes  float64  `yaml:"lanes"`
-	Load   Duration `yaml:"load"`
+	Memory Size     `yaml:"memory"` // of a loaded replica; 0 if unknown
+	Lanes  float64  `yaml:"lanes"`  // requests that a replica runs at a time; 0 if unknown
+	Load   Duration `yaml:"load"`   // time to load it; 0 if unknown
 }
 
-// Worker is one worker.
+// Worker is an entry of the endpoint list.
 type Worker struct {
 	Name    string  `yaml:"name"`
 	Address string  `yaml:"address"`
@@ -76,136 +77,68 @@
 	Cell    string  `yaml:"cell"`
 	Kind    string  `yaml:"kind"`
 	Weight  float64 `yaml:"weight"`
-	State   string  `yaml:"state"`
+	State   string  `yaml:"state"` // "" for ready
 }
 
-// Roster says where workers are learned from, beside the settings file itself.
+// Roster holds the settings of discovery: where the endpoint list comes from, beside Config.Workers.
 type Roster struct {
-	Discovery string   `yaml:"discovery"`
-	File      string   `yaml:"file"`
-	Every     Duration `yaml:"every"`
+	Discovery string   `yaml:"discovery"` // push, or ask: changes are delivered only after a subscription
+	File      string   `yaml:"file"`      // worker file, "" for none
+	Every     Duration `yaml:"every"`     // poll interval of the worker file
 }
 
-// Rules are the figures of the five rules.
+// Rules holds the parameters of the platform's rules on draining workers, slow start and discovery.
 type Rules struct {
-	DrainGrace     Duration `yaml:"drain_grace"`
-	ColdShare      float64  `yaml:"cold_share"`
-	WarmAfter      Duration `yaml:"warm_after"`
-	OverloadFactor float64  `yaml:"overload_factor"`
-	Fall           Duration `yaml:"fall"`
-	AskEvery       Duration `yaml:"ask_every"`
+	DrainGrace     Duration `yaml:"drain_grace"`     // requests may be sent to a worker for so long after it drains or is gone
+	ColdShare      float64  `yaml:"cold_share"`      // initial capacity in slow start, as a share of the full one
+	WarmAfter      Duration `yaml:"warm_after"`      // duration of slow start
+	OverloadFactor float64  `yaml:"overload_factor"` // a worker is overloaded beyond this multiple of its present capacity
+	Fall           Duration `yaml:"fall"`            // a worker in slow start that is overloaded for so long fails
+	AskEvery       Duration `yaml:"ask_every"`       // longest backoff between two requests to discovery
 }
 
-// Loads say how models come to workers.
+// Loads holds the settings of model loads.
 type Loads struct {
-	OnMiss  string   `yaml:"on_miss"`
-	Orders  bool     `yaml:"orders"`
-	Keep    Duration `yaml:"keep"`
-	Timeout Duration `yaml:"timeout"`
-	Window  Duration `yaml:"window"`
-	Few     float64  `yaml:"few"`
-	Share   float64  `yaml:"share"`
+	OnMiss  string   `yaml:"on_miss"` // what a worker does with a request for a model that it has not loaded
+	Orders  bool     `yaml:"orders"`  // the dispatcher may send load calls
+	Keep    Duration `yaml:"keep"`    // a worker keeps an idle model for at least so long
+	Timeout Duration `yaml:"timeout"` // of a load call
+	Window  Duration `yaml:"window"`  // sliding window of the budget of load calls; 0 for no budget
+	Few     float64  `yaml:"few"`     // load calls allowed in a window
+	Share   float64  `yaml:"share"`   // load calls allowed on top for each request that arrived in the window
 }
 
-// Attempts say what may be done for one request.
+// Attempts holds the limits on what is sent to workers for one request.
 type Attempts struct {
-	Most          int      `yaml:"most"`
-	Hedging       bool     `yaml:"second_copies"`
-	Cancel        bool     `yaml:"cancel"`
-	Probes        bool     `yaml:"probes"`
-	ProbePrice    float64  `yaml:"probe_price"` // of a request's value
+	Most          int      `yaml:"most"`          // attempts of one request
+	Hedging       bool     `yaml:"second_copies"` // hedged requests are allowed
+	Cancel        bool     `yaml:"cancel"`        // attempts that are no longer needed may be cancelled
+	Probes        bool     `yaml:"probes"`        // health checks are allowed
+	ProbePrice    float64  `yaml:"probe_price"`   // cost of a health check, as a share of a request's value
 	MaxRetryAfter Duration `yaml:"max_retry_after"`
 }
 
-// Limits bound what the process holds.
+// Limits bounds the connections, requests and memory that the process holds.
 type Limits struct {
-	Connections       int      `yaml:"connections"`
-	Requests          int      `yaml:"inferences"`
-	Body              Size     `yaml:"body"`
-	Memory            Size     `yaml:"memory"`
-	Answer            Size     `yaml:"answer"`
-	Head              Size     `yaml:"head"`
+	Connections       int      `yaml:"connections"` // of clients
+	Requests          int      `yaml:"inferences"`  // in flight
+	Body              Size     `yaml:"body"`        // of one request
+	Memory            Size     `yaml:"memory"`      // of all request bodies
+	Answer            Size     `yaml:"answer"`      // a longer response is streamed rather than buffered
+	Head              Size     `yaml:"head"`        // of a request
 	IdleTimeout       Duration `yaml:"idle_timeout"`
 	HeadTimeout       Duration `yaml:"head_timeout"`
-	BodyTimeout       Duration `yaml:"body_timeout"`
-	WorkerConnections int      `yaml:"worker_connections"`
-	WorkerIdle        int      `yaml:"worker_idle"`
+	BodyTimeout       Duration `yaml:"body_timeout"`       // between two pieces of a body
+	WorkerConnections int      `yaml:"worker_connections"` // to each worker
+	WorkerIdle        int      `yaml:"worker_idle"`        // idle connections to each worker
 	WorkerIdleTimeout Duration `yaml:"worker_idle_timeout"`
-	ConnectTimeout    Duration `yaml:"connect_timeout"`
-}
-
-// Default are the settings that hold where nothing is written: they suit one machine.
-func Default() Config {
-	return Config{
-		Name: "d0", Listen: "127.0.0.1:8080", Admin: "127.0.0.1:8081", Dispatchers: 1, Tick: S(0.001), StopGrace: S(10),
-		Log:    Log{Level: "info", Format: "text", Sample: 1000},
-		Roster: Roster{Discovery: "push", Every: S(1)},
-		Rules: Rules{DrainGrace: S(1), ColdShare: 0.2, WarmAfter: S(15), OverloadFactor: 2, Fall: S(1),
-			AskEvery: S(10)},
-		Loads:    Loads{OnMiss: "load", Orders: true, Keep: S(8), Timeout: S(10)},
-		Attempts: Attempts{Most: 3, Hedging: true, Cancel: true, MaxRetryAfter: S(1)},
-		Report:   []string{"inflight", "queue"},
-		Limits: Limits{Connections: 16000, Requests: 20000, Body: B(8 << 20), Memory: B(512 << 20), Answer: B(1 << 20),
-			Head: B(32 << 10), IdleTimeout: S(60), HeadTimeout: S(10), BodyTimeout: S(30), WorkerConnections: 256,
-			WorkerIdle: 64, WorkerIdleTimeout: S(15), ConnectTimeout: S(0.25)},
-	}
-}
-
-// Load reads and checks a settings file. The error is Problems.
-func Load(file string) (*Config, error) {
-	text, err := readFile(file)
-	if err != nil {
-		return nil, err
-	}
-	return Parse(file, text)
-}
-
-// Parse reads and checks settings; file is for messages only.
-func Parse(file string, text []byte) (*Config, error) {
-	c := Default()
-	s, err := Decode(file, text, &c)
-	if err != nil {
-		return nil, err
-	}
-	if len(s.out) > 0 { // spans that cannot be read would only bring more of the same
-		return nil, s.out
-	}
-	c.check(s, "$")
-	if len(s.out) > 0 {
-		return nil, s.out
-	}
-	return &c, nil
-}
-
-// ParseWorkers reads a file of workers: a mapping with one key, workers.
-func ParseWorkers(file string, text []byte) ([]Worker, error) {
-	var c struct {
-		Workers []Worker `yaml:"workers"`
-	}
-	s, err := Decode(file, text, &c)
-	if err != nil {
-		return nil, err
-	}
-	checkWorkers(s, "$", c.Workers)
-	if len(s.out) > 0 {
-		return nil, s.out
-	}
-	return c.Workers, nil
-}
-
-// LoadWorkers reads a file of workers.
-func LoadWorkers(file string) ([]Worker, error) {
-	text, err := readFile(file)
-	if err != nil {
-		return nil, err
-	}
-	return ParseWorkers(file, text)
+	ConnectTimeout    Duration `yaml:"connect_timeout"` // to a worker
 }
 
-// ModelID is the id of a model by its name: the same in every dispatcher, after every start.
+// ModelID returns the id of the model with a name: the same in every dispatcher, after every start.
 func ModelID(name string) control.ModelID { return control.ModelID(xxhash.Sum64String(name)) }
 
-// WorkerID is the id of a worker by its name.
+// WorkerID returns the id of the worker with a name.
 func WorkerID(name string) control.WorkerID { return control.WorkerID(xxhash.Sum64String(name)) }
 
 // Settings turns the settings into what the decisions are told, by the names that control reads.
@@ -240,23 +173,32 @@
 	return s
 }
 
-// Changed lists the settings that differ and cannot be changed while the program runs.
-func (c *Config) Changed(n *Config) []string {
-	var out []string
-	for _, f := range []struct {
-		name string
-		same bool
+// RestartRequired returns the settings that differ in next and take effect only after a restart.
+func (c *Config) RestartRequired(next *Config) []string {
+	var changed []string
+	for _, setting := range []struct {
+		name      string
+		unchanged bool
 	}{
-		{"name", c.Name == n.Name}, {"listen", c.Listen == n.Listen}, {"admin", c.Admin == n.Admin}, {"seed", c.Seed == n.Seed},
-		{"dispatchers", c.Dispatchers == n.Dispatchers}, {"tick", c.Tick.Seconds == n.Tick.Seconds},
-		{"log.format", c.Log.Format == n.Log.Format}, {"groups", slices.Equal(c.Groups, n.Groups)},
-		{"tenants", slices.Equal(c.Tenants, n.Tenants)}, {"roster.discovery", c.Roster.Discovery == n.Roster.Discovery},
-		{"rules", c.Rules == n.Rules}, {"loads", c.Loads == n.Loads}, {"forwards", c.Attempts == n.Attempts},
-		{"load_report", slices.Equal(c.Report, n.Report)}, {"limits", c.Limits == n.Limits},
+		{"name", c.Name == next.Name},
+		{"listen", c.Listen == next.Listen},
+		{"admin", c.Admin == next.Admin},
+		{"seed", c.Seed == next.Seed},
+		{"dispatchers", c.Dispatchers == next.Dispatchers},
+		{"tick", c.Tick.Seconds == next.Tick.Seconds},
+		{"log.format", c.Log.Format == next.Log.Format},
+		{"groups", slices.Equal(c.Groups, next.Groups)},
+		{"tenants", slices.Equal(c.Tenants, next.Tenants)},
+		{"roster.discovery", c.Roster.Discovery == next.Roster.Discovery},
+		{"rules", c.Rules == next.Rules},
+		{"loads", c.Loads == next.Loads},
+		{"forwards", c.Attempts == next.Attempts},
+		{"load_report", slices.Equal(c.Report, next.Report)},
+		{"limits", c.Limits == next.Limits},
 	} {
-		if !f.same {
-			out = append(out, f.name)
+		if !setting.unchanged {
+			changed = append(changed, setting.name)
 		}
 	}
-	return out
+	return changed
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"mastchute/control"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const good = `name: d0
 groups:
@@ -25,30 +25,36 @@
 rules: {drain_grace: 500ms}
 `
 
-// Each file of testdata/bad is settings with faults; the file beside it tells all of them.
-func TestFaultsAreTold(t *testing.T) {
-	files, _ := filepath.Glob("testdata/bad/*.yaml")
-	if len(files) < 10 {
-		t.Fatalf("%d files", len(files))
-	}
-	for _, f := range files {
-		_, err := Load(f)
+// Each YAML file of testdata/bad holds settings with faults, and the text file of the same name all problems to be reported.
+func TestProblemsOfBadSettings(t *testing.T) {
+	files, err := filepath.Glob("testdata/bad/*.yaml")
+	if err != nil || len(files) < 10 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	for _, file := range files {
+		_, err := Load(file)
 		if err == nil {
-			t.Errorf("%s: taken", f)
+			t.Errorf("%s: no problem reported", file)
 			continue
 		}
-		got := strings.ReplaceAll(err.Error(), f, filepath.Base(f)) + "\n"
-		golden := strings.TrimSuffix(f, ".yaml") + ".txt"
+		got := strings.ReplaceAll(err.Error(), file, filepath.Base(file)) + "\n"
+		golden := strings.TrimSuffix(file, ".yaml") + ".txt"
 		if *update {
-			os.WriteFile(golden, []byte(got), 0o644)
+			if err := os.WriteFile(golden, []byte(got), 0o644); err != nil {
+				t.Fatal(err)
+			}
 		}
-		if want, _ := os.ReadFile(golden); string(want) != got {
-			t.Errorf("%s:\ngot  %swant %s", f, got, want)
+		want, err := os.ReadFile(golden)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(want) != got {
+			t.Errorf("%s:\ngot  %swant %s", file, got, want)
 		}
 	}
 }
 
-func TestDefaultsStayWherePartIsWritten(t *testing.T) {
+func TestDefaultsApplyWhereNothingIsWritten(t *testing.T) {
 	c, err := Parse("x", []byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +63,7 @@
 	if c.Rules.DrainGrace.Seconds != 0.5 || c.Rules.ColdShare != d.Rules.ColdShare || c.Limits != d.Limits || c.Models[0].Memory.Bytes != 300e6 {
 		t.Errorf("%+v", c.Rules)
 	}
-	// Written out and read again it is the same.
+	// Marshalled and parsed again, the settings are the same.
 	text, err := yaml.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +72,8 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if diff := c.Changed(again); len(diff) > 0 {
-		t.Errorf("changed by writing and reading: %v", diff)
+	if diff := c.RestartRequired(again); len(diff) > 0 {
+		t.Errorf("marshalling and parsing changed %v", diff)
 	}
 }
 
@@ -112,20 +118,29 @@
 	}
 }
 
-func TestWhatReloadCannotChange(t *testing.T) {
-	a, _ := Parse("a", []byte(good))
-	b, err := Parse("b", []byte(strings.Replace(good, "drain_grace: 500ms", "drain_grace: 400ms", 1)+"listen: 127.0.0.1:1\n"))
+func TestRestartRequired(t *testing.T) {
+	before, err := Parse("before", []byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(a.Changed(b), " "); got != "listen rules" {
-		t.Errorf("%q", got)
+	after, err := Parse("after", []byte(strings.Replace(good, "drain_grace: 500ms", "drain_grace: 400ms", 1)+"listen: 127.0.0.1:1\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := strings.Join(before.RestartRequired(after), " "); got != "listen rules" {
+		t.Errorf("restart required for %q, want listen and rules", got)
 	}
 }
 
+// Parse returns an error or settings for any text, and never panics.
 func FuzzParse(f *testing.F) {
 	f.Add(good)
 	f.Add("groups: [{name: a, effect: x}]")
 	f.Add("workers: [{address: 5}]\nlimits: {body: 1ZB}")
-	f.Fuzz(func(t *testing.T, text string) { Parse("x", []byte(text)) }) // must not panic
+	f.Fuzz(func(t *testing.T, text string) {
+		cfg, err := Parse("x", []byte(text))
+		if (cfg == nil) == (err == nil) {
+			t.Errorf("settings %v and error %v", cfg, err)
+		}
+	})
 }
