--- a/internal/lifecycle/backoff.go
+++ b/internal/lifecycle/backoff.go
@@ -23,10 +23,10 @@
 }
 
 // Next returns the delay before the next retry. It returns false if the span has passed.
-func (r *Retry) Next(now time.Time) (time.Duration, bool) {
-	if !now.Before(r.end) {
+func (b *Retry) Next(now time.Time) (time.Duration, bool) {
+	if !now.Before(b.end) {
 		return 0, false
 	}
-	r.delay = math.Min(maxDelay, math.Max(firstDelay, 2*r.delay))
-	return seconds(r.delay), true
+	b.delay = math.Min(maxDelay, math.Max(firstDelay, 2*b.delay))
+	return seconds(b.delay), true
 }
