--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,123 +1,88 @@
-// Package cli is the command line of mastchute; `mastchute --help` lists what it knows. It is wiring only.
+// Package cli is the command line of mastchute: it parses arguments, calls the packages that do the work, and maps their
+// results to output and exit codes. `mastchute --help` lists the commands.
 package cli
 
 import (
 	"errors"
 	"fmt"
 	"os"
-	"runtime/debug"
 
 	"github.com/alecthomas/kong"
 	"github.com/willabides/kongplete"
 
 	"mastchute/internal/app"
-	"mastchute/internal/config"
-	"mastchute/internal/platform"
 )
 
+// commands are the commands of the program. A command's flags are the fields of its type, its work is Run.
 type commands struct {
 	Serve    serveCmd    `cmd:"" help:"Run a dispatcher by a settings file."`
 	Platform platformCmd `cmd:"" help:"Run a dispatcher on the operators' platform, as LB_CONFIG says."`
-	Check    checkCmd    `cmd:"" help:"Check a settings file and say what is wrong, with line and column."`
-	Demo     demoCmd     `cmd:"" help:"Run a dispatcher and three stand-in workers on loopback."`
-	Standin  standinCmd  `cmd:"" help:"Run stand-in workers on loopback."`
-	Lab      labCmd      `cmd:"" help:"Play days, and measure."`
+	Check    checkCmd    `cmd:"" help:"Check a settings file and report each problem with line and column."`
+	Demo     demoCmd     `cmd:"" help:"Run a dispatcher and three emulated workers on loopback."`
+	Standin  standinCmd  `cmd:"" help:"Run emulated workers on loopback."`
+	Lab      labCmd      `cmd:"" help:"Test and measure dispatchers: scenarios, load, faults."`
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 
 	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Print what to add to a shell's start file for completion."`
 }
 
-type serveCmd struct {
-	Config string `arg:"" type:"existingfile" help:"Settings file (YAML); docs/operators.md lists every setting."`
-}
-
-func (c *serveCmd) Run() error { return code(app.Serve(c.Config, os.Stderr)) }
-
-type platformCmd struct{}
-
-func (platformCmd) Run() error { return code(platform.Run(os.Stderr)) }
-
-type checkCmd struct {
-	Config  string `arg:"" type:"existingfile" help:"Settings file (YAML)."`
-	Workers bool   `help:"The file is a list of workers, as roster.file names one."`
-}
+const description = "A gateway that forwards requests to workers which load models on demand.\n\n" +
+	"Exit codes: 0 done or stopped cleanly; 1 wrong settings, address or arguments, or a scenario that broke a rule; " +
+	"3 the decisions failed; 4 stopped, but the grace period ended with requests in flight."
 
-func (c *checkCmd) Run() error {
-	var err error
-	if c.Workers {
-		_, err = config.LoadWorkers(c.Config)
-	} else {
-		_, err = config.Load(c.Config)
-	}
+// Main runs the program with its arguments, and returns the exit code.
+func Main(args []string) int {
+	var cmds commands
+	helpExit := -1 // the exit code of kong's own commands, such as --help; -1 if none was given
+	parser, err := kong.New(&cmds, kong.Name("mastchute"), kong.Description(description), kong.UsageOnError(),
+		kong.Exit(func(code int) { helpExit = code }))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitCode(app.ExitError)
+		return app.ExitError
 	}
-	fmt.Println(c.Config + ": good")
-	return nil
-}
-
-type demoCmd struct {
-	Listen  string  `default:"127.0.0.1:8080" help:"Address for clients; port 0 takes a free one."`
-	Admin   string  `default:"127.0.0.1:8081" help:"Address for operators; port 0 takes a free one."`
-	Seconds float64 `help:"Stop after so many seconds; 0 waits for Ctrl-C."`
-}
-
-func (c *demoCmd) Run() error { return code(app.Demo(c.Listen, c.Admin, c.Seconds, os.Stderr)) }
-
-type versionCmd struct{}
-
-func (versionCmd) Run() error {
-	fmt.Println("mastchute " + version)
-	if b, ok := debug.ReadBuildInfo(); ok {
-		fmt.Println(b.GoVersion)
+	kongplete.Complete(parser)
+	ctx, err := parser.Parse(args)
+	if helpExit >= 0 {
+		return helpExit
 	}
-	return nil
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "mastchute: %v; see mastchute --help\n", err)
+		return app.ExitError
+	}
+	return report(ctx.Run())
 }
 
-const version = "0.1.0"
+// exitError ends the program with an exit code and without a message: the command has printed what there is to say.
+type exitError int
 
-// exitCode ends the program with a code and without a message.
-type exitCode int
+// errFailed ends the program as failed.
+const errFailed = exitError(app.ExitError)
 
-func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e exitError) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
-func code(n int) error {
-	if n == app.ExitOK {
+// exitStatus returns the error of a command that ended with an exit code, nil for success.
+func exitStatus(code int) error {
+	if code == app.ExitOK {
 		return nil
 	}
-	return exitCode(n)
+	return exitError(code)
 }
 
-// Main runs the program with its arguments, and returns the exit code.
-func Main(args []string) int {
-	var cli commands
-	code := -1
-	parser, err := kong.New(&cli, kong.Name("mastchute"), kong.UsageOnError(), kong.Exit(func(n int) { code = n }),
-		kong.Description("A gateway that hands inferences to workers which load models on demand.\n\n"+
-			"Exit codes: 0 done or stopped cleanly; 1 wrong settings, address or arguments, or a day that broke a rule; "+
-			"3 the decisions failed; 4 stopped, but the grace ran out with inferences in hand."))
-	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		return app.ExitError
-	}
-	kongplete.Complete(parser)
-	ctx, err := parser.Parse(args)
-	if code >= 0 { // help was asked for
-		return code
+// report prints the error of a command, unless it is only an exit code, and returns the exit code.
+func report(err error) int {
+	if err == nil {
+		return app.ExitOK
 	}
-	if err != nil {
-		fmt.Fprintf(os.Stderr, "mastchute: %v; see mastchute --help\n", err)
-		return app.ExitError
+	var exit exitError
+	if errors.As(err, &exit) {
+		return int(exit)
 	}
-	err = ctx.Run()
-	var e exitCode
-	switch {
-	case errors.As(err, &e):
-		return int(e)
-	case err != nil:
-		fmt.Fprintf(os.Stderr, "mastchute: %v\n", err)
-		return app.ExitError
-	}
-	return app.ExitOK
+	fmt.Fprintf(os.Stderr, "mastchute: %v\n", err)
+	return app.ExitError
+}
+
+// failed prints an error without the program's name, and returns errFailed.
+func failed(err error) error {
+	fmt.Fprintln(os.Stderr, err)
+	return errFailed
 }
--- /dev/null
+++ b/internal/cli/lab_day.go
@@ -0,0 +1,129 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+
+	"mastchute/internal/lab"
+)
+
+type labDayCmd struct {
+	File      string `arg:"" type:"existingfile" help:"Day file (YAML); docs/lab.md describes it, days/ has some."`
+	JSON      bool   `name:"json" help:"Print the report as JSON."`
+	Keep      string `help:"Keep settings, logs and records in this directory."`
+	Seed      uint64 `help:"Run it with another seed."`
+	Page      string `help:"Write the report with plots as one HTML page to this file."`
+	Timeline  bool   `help:"Print what happened in each twentieth of the day."`
+	Simulated bool   `help:"Run it in simulated time in this process: the same bytes for the same seed."`
+}
+
+// Run exits with an error if the day broke a rule.
+func (c *labDayCmd) Run() error {
+	day, err := c.load()
+	if err != nil {
+		return failed(err)
+	}
+	if c.Keep != "" {
+		if err := os.MkdirAll(c.Keep, 0o755); err != nil {
+			return err
+		}
+	}
+	ctx, stop := signalContext()
+	defer stop()
+	evidence, report, err := c.play(ctx, day)
+	if report != nil {
+		err = errors.Join(err, c.output(evidence, report))
+	}
+	if err != nil {
+		return err
+	}
+	if report.Broken() {
+		return errFailed
+	}
+	return nil
+}
+
+func (c *labDayCmd) load() (*lab.Day, error) {
+	clock := lab.Sockets
+	if c.Simulated {
+		clock = lab.Simulated
+	}
+	day, err := lab.LoadDay(c.File, clock)
+	if err != nil {
+		return nil, err
+	}
+	if c.Seed > 0 {
+		day.Seed = c.Seed
+	}
+	return day, nil
+}
+
+// play runs the day. An interrupted or failed run may have a report with an error.
+func (c *labDayCmd) play(ctx context.Context, day *lab.Day) (*lab.Evidence, *lab.Report, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, nil, err
+	}
+	if !c.Simulated {
+		return lab.Play(ctx, day, lab.Options{Self: []string{self}, Dir: c.Keep, Say: os.Stderr})
+	}
+	evidence, report := lab.Simulate(ctx, day, nil, os.Stderr)
+	if c.Keep != "" {
+		err = writeJSONLines(c.Keep+"/records.jsonl", evidence.Records)
+	}
+	return evidence, report, err
+}
+
+// output writes the files that the flags ask for, and prints the report.
+func (c *labDayCmd) output(evidence *lab.Evidence, report *lab.Report) error {
+	var errs []error
+	if c.Keep != "" {
+		errs = append(errs, writeJSONLines(c.Keep+"/tries.jsonl", evidence.Tries))
+	}
+	if c.Page != "" {
+		errs = append(errs, writePage(c.Page, []*lab.Report{report}))
+	}
+	if c.JSON {
+		return errors.Join(append(errs, printJSON(report))...)
+	}
+	report.Write(os.Stdout)
+	if c.Timeline {
+		report.WriteTimeline(os.Stdout)
+	}
+	return errors.Join(errs...)
+}
+
+type labDrawCmd struct {
+	Seed uint64 `required:"" help:"The same seed generates the same day."`
+	Out  string `short:"o" help:"Write it to this file; default: standard output."`
+}
+
+func (c *labDrawCmd) Run() error {
+	text, err := lab.Draw(c.Seed)
+	if err != nil {
+		return err
+	}
+	return writeOutput(c.Out, text)
+}
+
+type labConvertCmd struct {
+	File string `arg:"" type:"existingfile" help:"Day drawn or found by the bench (JSON)."`
+	Out  string `short:"o" help:"Write the day to this file; default: standard output."`
+}
+
+func (c *labConvertCmd) Run() error {
+	bench, err := os.ReadFile(c.File)
+	if err != nil {
+		return err
+	}
+	text, notConverted, err := lab.Convert(bench)
+	for _, line := range notConverted {
+		fmt.Fprintln(os.Stderr, line)
+	}
+	if err != nil {
+		return failed(fmt.Errorf("%s: %w", c.File, err))
+	}
+	return writeOutput(c.Out, text)
+}
--- /dev/null
+++ b/internal/cli/lab_experiment.go
@@ -0,0 +1,102 @@
+package cli
+
+import (
+	"fmt"
+	"os"
+	"strings"
+
+	"mastchute/internal/lab"
+)
+
+// experimentFlags are the flags that all experiments have in common.
+type experimentFlags struct {
+	Seeds int     `default:"16" help:"Seeds at most, each; the same for all variants."`
+	Least float64 `default:"0.005" help:"Smallest difference of service to report."`
+	Jobs  int     `help:"Runs at once; default: as many as processors."`
+	JSON  bool    `name:"json" help:"Print JSON."`
+	Plot  string  `help:"Write a plot of service by variant to this file (.svg or .png)."`
+}
+
+// run compares the variants and prints a row for each. After an interrupt it prints the rows so far and fails.
+func (f *experimentFlags) run(variants []lab.Variant) error {
+	ctx, stop := signalContext()
+	defer stop()
+	rows, runErr := lab.Experiment(ctx, variants, lab.Limits{Seeds: f.Seeds, Least: f.Least, Jobs: f.Jobs}, os.Stderr)
+	if rows == nil {
+		return failed(runErr)
+	}
+	if err := f.output(rows); err != nil {
+		return err
+	}
+	if runErr != nil {
+		fmt.Fprintln(os.Stderr, "interrupted: the rows above are partial")
+		return errFailed
+	}
+	return nil
+}
+
+func (f *experimentFlags) output(rows []lab.Row) error {
+	if f.JSON {
+		if err := printJSON(rows); err != nil {
+			return err
+		}
+	} else {
+		lab.WriteRows(os.Stdout, rows)
+	}
+	if f.Plot == "" {
+		return nil
+	}
+	return lab.PlotRows(f.Plot, rows)
+}
+
+type labCompareCmd struct {
+	Days []string `arg:"" type:"existingfile" help:"Day files; all are compared with the first."`
+	experimentFlags
+}
+
+func (c *labCompareCmd) Run() error {
+	var variants []lab.Variant
+	for _, file := range c.Days {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			return err
+		}
+		variants = append(variants, lab.Variant{Name: file, Text: text})
+	}
+	return c.run(variants)
+}
+
+type labSweepCmd struct {
+	Day  string   `arg:"" type:"existingfile" help:"Day file."`
+	Keys []string `arg:"" help:"KEY=a,b,c: values of one key of the day, like fleet.workers=10,100 or settings.groups[0].slo=1s,2s; all combinations are run."`
+	experimentFlags
+}
+
+func (c *labSweepCmd) Run() error {
+	text, err := os.ReadFile(c.Day)
+	if err != nil {
+		return err
+	}
+	keys, values, err := parseSweep(c.Keys)
+	if err != nil {
+		return failed(err)
+	}
+	variants, err := lab.Vary(text, keys, values)
+	if err != nil {
+		return failed(fmt.Errorf("%s: %w", c.Day, err))
+	}
+	return c.run(variants)
+}
+
+// parseSweep parses arguments of the form KEY=a,b,c; values[i] has the values of keys[i].
+func parseSweep(args []string) (keys []string, values [][]string, err error) {
+	for _, arg := range args {
+		key, list, found := strings.Cut(arg, "=")
+		if !found || list == "" {
+			return nil, nil, fmt.Errorf("%q is no KEY=a,b,c", arg)
+		}
+		keys = append(keys, key)
+		values = append(values, strings.Split(list, ","))
+	}
+	return keys, values, nil
+}
--- /dev/null
+++ b/internal/cli/lab_load.go
@@ -0,0 +1,120 @@
+package cli
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"strings"
+
+	"mastchute/internal/lab"
+)
+
+const maxModelRange = 100_000 // models that one NAME-FIRST..LAST may stand for, beside the first
+
+type labLoadCmd struct {
+	URL       string   `arg:"" help:"Gateway, like http://127.0.0.1:8700."`
+	Model     []string `required:"" help:"Models, the most popular first; NAME-1..20 stands for twenty."`
+	Rate      float64  `default:"100" help:"Requests a second, open loop."`
+	For       float64  `default:"10" help:"Seconds."`
+	Zipf      float64  `default:"1" help:"How unequal the models' popularity is."`
+	Hot       float64  `help:"Share of additional requests for the first model."`
+	Shift     float64  `help:"Seconds after which popularity moves on by one model."`
+	Unseen    float64  `help:"Share of requests for models that were never requested before."`
+	Burst     float64  `help:"Factor of the rate in bursts."`
+	BurstOf   float64  `default:"1" help:"Seconds of a burst, one in every ten times as long."`
+	Tenant    []string `help:"Tenants, chosen at random."`
+	Timeout   float64  `default:"3" help:"Seconds a client waits."`
+	Impatient float64  `help:"Share of clients that disconnect early once and retry."`
+	Retries   int      `default:"1" help:"Retries after a shed request."`
+	Seed      uint64   `default:"1" help:"The same seed sends the same requests at the same times."`
+	Trace     string   `type:"existingfile" help:"Replay this trace, JSON lines of at, model, tenant, in place of a generated load."`
+	JSON      bool     `name:"json" help:"Print JSON."`
+	CSV       string   `name:"csv" help:"Write the distribution of latencies to this file."`
+}
+
+func (c *labLoadCmd) Run() error {
+	ctx, stop := signalContext()
+	defer stop()
+	options := c.options()
+	if c.Trace != "" {
+		trace, err := os.Open(c.Trace)
+		if err != nil {
+			return err
+		}
+		options.Trace, err = lab.ReadTrace(trace)
+		trace.Close()
+		if err != nil {
+			return failed(fmt.Errorf("%s: %w", c.Trace, err))
+		}
+	}
+	result, err := lab.Load(ctx, options)
+	if result == nil {
+		return failed(err)
+	}
+	return c.output(result)
+}
+
+func (c *labLoadCmd) options() lab.LoadOptions {
+	options := lab.LoadOptions{
+		URL:       strings.TrimRight(c.URL, "/"),
+		Zipf:      c.Zipf,
+		Hot:       c.Hot,
+		Shift:     c.Shift,
+		Unseen:    c.Unseen,
+		Rate:      c.Rate,
+		Seconds:   c.For,
+		Burst:     c.Burst,
+		BurstOf:   c.BurstOf,
+		Tenants:   c.Tenant,
+		Timeout:   c.Timeout,
+		Impatient: c.Impatient,
+		Retries:   c.Retries,
+		Seed:      c.Seed,
+		Say:       os.Stderr,
+	}
+	for _, model := range c.Model {
+		options.Models = append(options.Models, expandModel(model)...)
+	}
+	return options
+}
+
+// expandModel returns the names that NAME-FIRST..LAST stands for; any other text is one name.
+func expandModel(model string) []string {
+	start, end, isRange := strings.Cut(model, "..")
+	dash := strings.LastIndexByte(start, '-')
+	if !isRange || dash < 0 {
+		return []string{model}
+	}
+	var first, last int
+	_, err := fmt.Sscanf(start[dash+1:]+" "+end, "%d %d", &first, &last)
+	if err != nil || last < first || last-first > maxModelRange {
+		return []string{model}
+	}
+	var names []string
+	for i := first; i <= last; i++ {
+		names = append(names, fmt.Sprintf("%s-%d", start[:dash], i))
+	}
+	return names
+}
+
+func (c *labLoadCmd) output(result *lab.LoadResult) error {
+	if c.CSV != "" {
+		err := createFile(c.CSV, func(w io.Writer) error { return result.WriteCSV(w) })
+		if err != nil {
+			return err
+		}
+	}
+	if c.JSON {
+		return printJSONLine(result)
+	}
+	fmt.Printf("asked %d in %.1f s, %d tries, %d not sent, sent at most %.1f ms late; answers %v\n",
+		result.Asked, result.Seconds, result.Tries, result.NotSent, result.Late*1e3, result.Answers)
+	printLatency("returned", result.Returned)
+	printLatency("all", result.All)
+	return nil
+}
+
+func printLatency(name string, l lab.Latency) {
+	fmt.Printf("%-9s mean %.1f  p50 %.1f  p90 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms from the intended time\n",
+		name, l.Mean*1e3, l.P50*1e3, l.P90*1e3, l.P99*1e3, l.P999*1e3, l.Max*1e3)
+}
