--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -41,7 +41,7 @@
 	newLine chan struct{} // signalled after a line was added
 
 	mu    sync.Mutex
-	lines []string // of standard error, not yet taken by a test
+	lines []string // of standard error, not yet removed by a test
 }
 
 // programCommand returns the command that runs mastchute with the arguments.
@@ -82,13 +82,13 @@
 	}
 }
 
-// waitForLine waits for a line that contains text, and takes it and all lines before it.
+// waitForLine waits for a line that contains text, and removes it and all lines before it.
 func (p *program) waitForLine(text string) string {
 	p.t.Helper()
 	return p.takeLine(text, false)
 }
 
-// takeLine waits for a line that contains text, and takes it. The lines before it are taken too unless keepEarlier.
+// takeLine waits for a line that contains text, and removes it. The lines before it are removed too unless keepEarlier.
 func (p *program) takeLine(text string, keepEarlier bool) string {
 	p.t.Helper()
 	timeout := time.After(10 * time.Second)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -52,7 +52,7 @@
 	return report(ctx.Run())
 }
 
-// exitError ends the program with an exit code and without a message: the command has printed what there is to say.
+// exitError ends the program with an exit code and without a message: the command has printed its own.
 type exitError int
 
 // errFailed ends the program as failed.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 )
 
 // Config holds the settings of a dispatcher. docs/operators.md describes each of them; the comments here name units and
-// what a key does not say. A Config that Load or Parse returned is not changed afterwards.
+// whatever a key leaves open. A Config that Load or Parse returned is not changed afterwards.
 type Config struct {
 	Name        string   `yaml:"name"` // begins the ids of this dispatcher's requests
 	Listen      string   `yaml:"listen"`
