--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -22,7 +22,7 @@
 
 // Decode parses YAML strictly into target, a pointer to a struct that holds the defaults; durations and sizes in it are
 // parsed after the rest. An error is of type Problems: the text is no YAML or does not fit target. Durations and sizes
-// that cannot be parsed are reported to the Source, as checks of the values do by At; file is for messages only.
+// that cannot be parsed are reported to the Source, as checks of the values do; file is for messages only.
 func Decode(file string, text []byte, target any) (*Source, error) {
 	s := &Source{file: file}
 	tree, err := parser.ParseBytes(text, 0)
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -36,13 +36,13 @@
 	signal.Stop(s.Dump)
 }
 
-// AwaitResult is the reason why Await returned.
+// AwaitResult is the reason why a wait for a retry ended.
 type AwaitResult uint8
 
 // The reasons.
 const (
 	RetryDue         AwaitResult = iota // the delay has passed: retry now
-	RetriesExhausted                    // no retry is left; Await returned at once
+	RetriesExhausted                    // no retry is left; there was no wait
 	StopRequested                       // Stop received a signal
 	ReloadRequested                     // the reload channel received a signal
 )
