--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -8,36 +8,36 @@
 	"mastchute/internal/rules"
 )
 
-// ending is an outcome to be told to the decisions; f nil: only lets the request's place go.
-type ending struct {
-	q *Request
-	f *Attempt
-	o control.AttemptResult
+// finishedAttempt is an outcome to be told to the decisions; f nil: only lets the request's place go.
+type finishedAttempt struct {
+	request *Request
+	attempt *Attempt
+	result  control.AttemptResult
 }
 
-func (g *Gateway) getAttempt() *Attempt {
+func (g *Gateway) allocateAttempt() *Attempt {
 	if n := len(g.freeAttempts); n > 0 {
 		f := g.freeAttempts[n-1]
 		g.freeAttempts = g.freeAttempts[:n-1]
 		return f
 	}
-	f := &Attempt{g: g}
-	f.timer.Fire = func() { g.end(f, control.TimedOut) }
-	f.window.Fire = func() {
-		if f.Worker.link.SentAt(f) == 0 {
-			g.end(f, control.NotSent)
+	f := &Attempt{gateway: g}
+	f.timeoutTimer.Fire = func() { g.finishAttempt(f, control.TimedOut) }
+	f.dedupTimer.Fire = func() {
+		if f.Worker.transport.SentAt(f) == 0 {
+			g.finishAttempt(f, control.NotSent)
 		}
 	}
 	return f
 }
 
-func (g *Gateway) putAttempt(f *Attempt) {
+func (g *Gateway) recycleAttempt(f *Attempt) {
 	f.Request, f.Worker = nil, nil
 	f.ResponseBody = f.ResponseBody[:0]
 	if cap(f.ResponseBody) > 64<<10 {
 		f.ResponseBody = nil
 	}
-	f.Response, f.done, f.barred = WorkerResponse{}, false, false
+	f.Response, f.finished, f.blocked = WorkerResponse{}, false, false
 	g.freeAttempts = append(g.freeAttempts, f)
 }
 
@@ -45,46 +45,46 @@
 
 // SendAttempt sends a request to a worker.
 func (g *Gateway) SendAttempt(id control.RequestID, wid control.WorkerID, timeout control.Seconds) {
-	q, w := g.lookupRequest(id), g.workers[wid]
-	if q == nil || w == nil || q.attempted >= maxAttempts {
-		g.Metrics.guard("unknown")
+	q, w := g.findRequest(id), g.workers[wid]
+	if q == nil || w == nil || q.attemptCount >= maxAttempts {
+		g.Metrics.countGuard("unknown")
 		return
 	}
-	f := g.getAttempt()
-	f.Request, f.Index, f.Worker, f.made = q, q.attempted, w, g.Loop.Now()
-	w.pending++
-	q.attempts[q.attempted] = f
-	q.attempted++
-	q.pending++
-	w.meter.attempts.Inc()
+	f := g.allocateAttempt()
+	f.Request, f.Index, f.Worker, f.createdAt = q, q.attemptCount, w, g.Loop.Now()
+	w.callsInFlight++
+	q.attempts[q.attemptCount] = f
+	q.attemptCount++
+	q.unreportedAttempts++
+	w.metrics.attempts.Inc()
 	g.RecordEvent("attempt", "", q, w, timeout)
-	terms := q.terms(w, f.Index)
-	if why := rules.CheckAttempt(f.made, terms, w.ready()); why != rules.Allowed { // whatever was decided
-		g.Metrics.guard("forward_barred")
-		g.violation(why, "attempt", q, w)
-		f.barred = true
-		g.end(f, control.NotSent)
+	terms := q.attemptFacts(w, f.Index)
+	if why := rules.CheckAttempt(f.createdAt, terms, w.isReady()); why != rules.Allowed { // whatever was decided
+		g.Metrics.countGuard("forward_barred")
+		g.recordViolation(why, "attempt", q, w)
+		f.blocked = true
+		g.finishAttempt(f, control.NotSent)
 		return
 	}
 	if timeout > 0 {
-		g.Loop.Start(&f.timer, timeout)
+		g.Loop.Start(&f.timeoutTimer, timeout)
 	}
-	if f.SendDeadline = repeatsUntil(terms); !math.IsInf(f.SendDeadline, 1) {
-		g.Loop.Start(&f.window, f.SendDeadline-f.made)
+	if f.SendDeadline = dedupDeadline(terms); !math.IsInf(f.SendDeadline, 1) {
+		g.Loop.Start(&f.dedupTimer, f.SendDeadline-f.createdAt)
 	}
 	w.MarkSent()
-	w.link.SendAttempt(f)
+	w.transport.SendAttempt(f)
 }
 
 // Shed answers that trying again is harmless.
 func (g *Gateway) Shed(id control.RequestID, retryAfter control.Seconds) {
-	if q := g.lookupRequest(id); q != nil && q.Responder != nil {
-		if why := rules.CheckShed(q.shedTerms()); why != rules.Allowed {
-			g.violation(why, "shed", q, nil)
-			g.fail(q, false, "it may have run")
+	if q := g.findRequest(id); q != nil && q.Responder != nil {
+		if why := rules.CheckShed(q.shedFacts()); why != rules.Allowed {
+			g.recordViolation(why, "shed", q, nil)
+			g.failRequest(q, false, "it may have run")
 			return
 		}
-		if c := g.final(q, answerShed); c != nil {
+		if c := g.takeResponder(q, outcomeShed); c != nil {
 			c.WriteShed(q, retryAfter)
 		}
 	}
@@ -92,57 +92,57 @@
 
 // Fail answers that it did not work out, and promises nothing.
 func (g *Gateway) Fail(id control.RequestID) {
-	q := g.lookupRequest(id)
+	q := g.findRequest(id)
 	if q == nil || q.Responder == nil {
 		return
 	}
-	if g.Loop.Now() > q.notAfter-0.1 {
-		g.fail(q, true, "no answer came in time; it may have run")
+	if g.Loop.Now() > q.deadline-0.1 {
+		g.failRequest(q, true, "no answer came in time; it may have run")
 		return
 	}
-	g.fail(q, false, "the workers failed; it may have run")
+	g.failRequest(q, false, "the workers failed; it may have run")
 }
 
 // CancelAttempt gives an attempt up.
 func (g *Gateway) CancelAttempt(id control.RequestID, n int) {
-	if q := g.lookupRequest(id); q != nil && n < q.attempted {
-		g.end(q.attempts[n], control.Cancelled)
+	if q := g.findRequest(id); q != nil && n < q.attemptCount {
+		g.finishAttempt(q.attempts[n], control.Cancelled)
 	}
 }
 
 // CloseIdleConnections closes the idle connections to a worker.
 func (g *Gateway) CloseIdleConnections(id control.WorkerID) {
 	if w := g.workers[id]; w != nil {
-		w.link.CloseIdle()
+		w.transport.CloseIdle()
 	}
 }
 
 // SendPeerMessage has nobody to tell: dispatchers share nothing.
-func (g *Gateway) SendPeerMessage(control.PeerID, []byte) { g.Metrics.guard("note_dropped") }
+func (g *Gateway) SendPeerMessage(control.PeerID, []byte) { g.Metrics.countGuard("note_dropped") }
 
 // SubscribeWorkerList starts or ends the pushing of changes, where discovery is to be asked.
 func (g *Gateway) SubscribeWorkerList(on bool) {
 	was := g.subscribed
 	if g.subscribed = on; on && !was {
-		g.Loop.Defer(func() { g.tellList(control.ListSnapshot) })
+		g.Loop.Defer(func() { g.sendWorkerList(control.ListSnapshot) })
 	}
 }
 
 // FetchWorkerList asks for the whole list once.
-func (g *Gateway) FetchWorkerList() { g.Loop.Defer(func() { g.tellList(control.ListSnapshot) }) }
+func (g *Gateway) FetchWorkerList() { g.Loop.Defer(func() { g.sendWorkerList(control.ListSnapshot) }) }
 
 // SetTimer sets a timer.
 func (g *Gateway) SetTimer(after control.Seconds, id control.TimerID) {
-	t := g.wakes[id]
+	t := g.moduleTimers[id]
 	if t == nil {
 		t = &eventloop.Timer{}
 		t.Fire = func() {
-			g.begin()
+			g.beginBatch()
 			if g.module != nil {
-				g.timer(id)
+				g.deliverTimer(id)
 			}
 		}
-		g.wakes[id] = t
+		g.moduleTimers[id] = t
 	}
 	g.Loop.Start(t, after)
 }
@@ -152,79 +152,79 @@
 
 // Stream tells that the answer of an attempt goes to the client as it comes from now on. The other attempts are given up:
 // the client has its answer.
-func (g *Gateway) stream(f *Attempt) {
+func (g *Gateway) startStreaming(f *Attempt) {
 	q := f.Request
-	q.streaming = f
-	g.Loop.Cancel(&q.timer)
-	g.Loop.Cancel(&f.timer)
-	for _, o := range q.attempts[:q.attempted] {
+	q.streamingAttempt = f
+	g.Loop.Cancel(&q.deadlineTimer)
+	g.Loop.Cancel(&f.timeoutTimer)
+	for _, o := range q.attempts[:q.attemptCount] {
 		if o != f {
-			g.end(o, control.Cancelled)
+			g.finishAttempt(o, control.Cancelled)
 		}
 	}
-	g.begin()
+	g.beginBatch()
 	if g.module != nil {
-		g.guard(func() { g.module.ResponseStarted(q.id, f.Index, f.Worker.ID, g.Loop.Now()-f.made) })
+		g.callModule(func() { g.module.ResponseStarted(q.id, f.Index, f.Worker.ID, g.Loop.Now()-f.createdAt) })
 	}
 }
 
-// end ends an attempt, once, and has its outcome told in this turn.
-func (g *Gateway) end(f *Attempt, r control.Result) {
-	if f == nil || f.done {
+// finishAttempt ends an attempt, once, and has its outcome told in this turn.
+func (g *Gateway) finishAttempt(f *Attempt, r control.Result) {
+	if f == nil || f.finished {
 		return
 	}
-	if f.done = true; r == control.TimedOut || r == control.Cancelled || r == control.NotSent {
-		if f.barred || f.Worker.link.SentAt(f) == 0 && r != control.TimedOut { // never handed to a connection that is up
+	if f.finished = true; r == control.TimedOut || r == control.Cancelled || r == control.NotSent {
+		if f.blocked || f.Worker.transport.SentAt(f) == 0 && r != control.TimedOut { // never handed to a connection that is up
 			r = control.NotSent
 		}
-		if !f.barred { // the link has never had it
-			f.Worker.link.CancelAttempt(f)
+		if !f.blocked { // the link has never had it
+			f.Worker.transport.CancelAttempt(f)
 		}
 	}
-	g.Loop.Cancel(&f.timer)
-	g.Loop.Cancel(&f.window)
+	g.Loop.Cancel(&f.timeoutTimer)
+	g.Loop.Cancel(&f.dedupTimer)
 	q, now := f.Request, g.Loop.Now()
 	f.result = r
-	f.Worker.pending--
-	f.Worker.meter.ended(r)
-	g.RecordEvent("attempt_ended", resultNames[r], q, f.Worker, now-f.made)
-	o := control.AttemptResult{ID: q.id, Attempt: f.Index, Worker: f.Worker.ID, Duration: now - f.made, Result: r, ModelState: f.Response.ModelState,
+	f.Worker.callsInFlight--
+	f.Worker.metrics.attemptFinished(r)
+	g.RecordEvent("attempt_ended", resultNames[r], q, f.Worker, now-f.createdAt)
+	o := control.AttemptResult{ID: q.id, Attempt: f.Index, Worker: f.Worker.ID, Duration: now - f.createdAt, Result: r, ModelState: f.Response.ModelState,
 		SameModelInFlight: f.Response.SameModelInFlight, LoadReport: f.Response.LoadReport[:f.Response.LoadReportLen]}
-	if r == control.Succeeded && !q.answered {
+	if r == control.Succeeded && !q.finished {
 		c := q.Responder
 		q.Responder = nil
 		c.WriteResponse(q, f)
-		g.close(q, answerReturned)
-	} else if q.streaming == f && !q.answered { // cut short after it began: the client must see that
+		g.finishRequest(q, outcomeReturned)
+	} else if q.streamingAttempt == f && !q.finished { // cut short after it began: the client must see that
 		c := q.Responder
 		q.Responder = nil
 		c.WriteFailure(q, false, "the answer was cut short")
-		g.close(q, answerFailed)
+		g.finishRequest(q, outcomeFailed)
 	}
-	o.RequestAnswered = q.answered
-	if len(g.ended) == 0 {
-		g.Loop.Defer(g.tellFn)
+	o.RequestAnswered = q.finished
+	if len(g.finished) == 0 {
+		g.Loop.Defer(g.reportFinishedFn)
 	}
-	g.ended = append(g.ended, ending{q: q, f: f, o: o})
+	g.finished = append(g.finished, finishedAttempt{request: q, attempt: f, result: o})
 }
 
-// tell tells the decisions of the attempts that ended, in order.
-func (g *Gateway) tell() {
-	g.ended, g.ending = g.ending[:0], g.ended
-	for i := range g.ending {
-		e := &g.ending[i]
-		if e.f != nil {
-			e.q.pending--
-			e.o.RequestAnswered = e.q.answered
-			g.begin()
+// reportFinished tells the decisions of the attempts that ended, in order.
+func (g *Gateway) reportFinished() {
+	g.finished, g.reporting = g.reporting[:0], g.finished
+	for i := range g.reporting {
+		e := &g.reporting[i]
+		if e.attempt != nil {
+			e.request.unreportedAttempts--
+			e.result.RequestAnswered = e.request.finished
+			g.beginBatch()
 			if g.module != nil {
-				g.outcome(&e.o)
+				g.deliverAttemptResult(&e.result)
 			}
 		}
 	}
-	for i := range g.ending {
-		g.release(g.ending[i].q)
-		g.ending[i] = ending{}
+	for i := range g.reporting {
+		g.releaseRequest(g.reporting[i].request)
+		g.reporting[i] = finishedAttempt{}
 	}
 }
 
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -27,15 +27,15 @@
 		return nil
 	}}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
-	w := newWorker(t, "w1", fine)
-	r := newRig(t, "limits: {connect_timeout: 2s}\n", nil, w)
-	r.on(func() { r.g.CloseIdleConnections(r.g.Members.All()[0].ID) })
+	w := newWorker(t, "w1", succeed)
+	r := newHarness(t, "limits: {connect_timeout: 2s}\n", nil, w)
+	r.on(func() { r.gateway.CloseIdleConnections(r.gateway.Members.All()[0].ID) })
 	sent := time.Now()
 	until.Store(sent.Add(500 * time.Millisecond).UnixNano())
-	if a := r.ask("read-1", "Mastchute-Timeout: 2\r\n", "in"); a.answer != "returned" {
+	if a := r.post("read-1", "Mastchute-Timeout: 2\r\n", "in"); a.outcome != "returned" {
 		t.Errorf("%+v", a)
 	}
-	for _, s := range w.seen() {
+	for _, s := range w.received() {
 		told, err := strconv.ParseFloat(s.header.Get("Mastchute-Timeout"), 64)
 		if err != nil {
 			continue // a question for its start
@@ -57,15 +57,15 @@
 		return nil
 	}}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
-	r := newRig(t, "limits: {connect_timeout: 30ms}\n", nil, newWorker(t, "w1", fine))
-	r.on(func() { r.g.CloseIdleConnections(r.g.Members.All()[0].ID) })
+	r := newHarness(t, "limits: {connect_timeout: 30ms}\n", nil, newWorker(t, "w1", succeed))
+	r.on(func() { r.gateway.CloseIdleConnections(r.gateway.Members.All()[0].ID) })
 	fails.Store(true)
 	for range 5 {
-		if a := r.ask("read-1", "", "in"); a.answer != "shed" {
+		if a := r.post("read-1", "", "in"); a.outcome != "shed" {
 			t.Errorf("%+v", a)
 		}
 	}
-	if n := counted(r, "mastchute_forward_ends_total", "connect_failed"); n > 0 {
+	if n := counterValue(r, "mastchute_forward_ends_total", "connect_failed"); n > 0 {
 		t.Errorf("%g attempts count against the worker", n)
 	}
 	fails.Store(false)
@@ -75,11 +75,11 @@
 // Requests that cross a stop are answered: those unread in the kernel, and those of
 // connections that wait to be accepted.
 func TestStopReadsFirst(t *testing.T) {
-	r := newRig(t, "", nil, newWorker(t, "w1", fine))
+	r := newHarness(t, "", nil, newWorker(t, "w1", succeed))
 	rested := r.dial()
 	br := bufio.NewReader(rested)
 	text := "POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\nin"
-	if a := exchange(rested, br, text); a.answer != "returned" {
+	if a := exchange(rested, br, text); a.outcome != "returned" {
 		t.Fatalf("%+v", a)
 	}
 	fresh := []net.Conn{}
@@ -91,7 +91,7 @@
 			fresh = append(fresh, n)
 		}
 		time.Sleep(20 * time.Millisecond)
-		r.g.Stop(2)
+		r.gateway.Stop(2)
 	})
 	for i, conn := range append(fresh, rested) {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -110,22 +110,22 @@
 // they are the marks by which workers drop repeats.
 func TestStartsNameTheirRequests(t *testing.T) {
 	at := time.Now()
-	syscalls.Default = frozen{syscalls.Linux{}, at}
+	syscalls.Default = frozenClockKernel{syscalls.Linux{}, at}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	names := map[string]bool{}
 	for range 3 {
-		r := newRig(t, "", nil, newWorker(t, "w1", fine))
-		r.on(func() { names[r.g.name] = true })
+		r := newHarness(t, "", nil, newWorker(t, "w1", succeed))
+		r.on(func() { names[r.gateway.requestIDPrefix] = true })
 	}
 	if len(names) != 3 {
 		t.Errorf("%d names for 3 starts: %v", len(names), fmt.Sprint(names))
 	}
 }
 
-// frozen is a kernel whose wall clock stands.
-type frozen struct {
+// frozenClockKernel is a kernel whose wall clock stands.
+type frozenClockKernel struct {
 	syscalls.Kernel
 	at time.Time
 }
 
-func (k frozen) WallClock() time.Time { return k.at }
+func (k frozenClockKernel) WallClock() time.Time { return k.at }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	maxAttempts = 8     // as many as the decisions' record holds
-	viewMost    = 1000  // requests told in a status
-	helloSpan   = 1.0   // s a newly listed worker may take to tell its start, before it is listed without
-	stopPoll    = 0.01  // s between looks while stopping
-	stopLinger  = 1.5   // s for the last answers to be read after the last request has ended
-	forgetEvery = 5.0   // s between looks for what may be forgotten
-	goneLong    = 300.0 // s after which a gone worker is forgotten, as the decisions do
-	slotBits    = 20    // of a request's id: its place; the rest counts uses of the place
+	maxAttempts          = 8     // as many as the decisions' record holds
+	maxListedRequests    = 1000  // requests told in a status
+	probeTimeout         = 1.0   // s a newly listed worker may take to tell its start, before it is listed without
+	shutdownPollInterval = 0.01  // s between looks while stopping
+	lingerTimeout        = 1.5   // s for the last answers to be read after the last request has ended
+	evictionInterval     = 5.0   // s between looks for what may be forgotten
+	evictAfter           = 300.0 // s after which a gone worker is forgotten, as the decisions do
+	requestSlotBits      = 20    // of a request's id: its place; the rest counts uses of the place
 )
 
 // NewModule makes the decisions of a dispatcher.
@@ -46,39 +46,39 @@
 	Members *membership.List
 	Events  flightrecorder.Ring // the latest state changes
 
-	cfg    *config.Config
-	log    zerolog.Logger
-	front  ClientTransport
-	module control.Module
-	set    control.Settings
-	epoch  float64 // seconds since 1970 at the loop's second 0
-	name   string  // of this start: what request ids begin with
-	seq    uint64
-	batch  bool // the module has heard events since its last Settle
-
-	models     models
-	mostModels int
-	tenants    map[string]int
-	groups     []*group
-	workers    map[control.WorkerID]*Worker
-
-	requests     []*Request
-	free         []int32
-	inFlight     int
-	freeAttempts []*Attempt     // free ones
-	orders       []*ControlCall // free ones
-	ended        []ending       // outcomes to be told in this turn
-	ending       []ending
-	tellFn       func()
-
-	subscribed  bool
-	stopping    bool
-	stopBy      float64
-	stopTimer   eventloop.Timer
-	forgetTimer eventloop.Timer
-	wakes       map[control.TimerID]*eventloop.Timer
-	exit        *ExitStatus
-	rnd         *rand.Rand // spreads what dispatchers would else do in step
+	cfg             *config.Config
+	log             zerolog.Logger
+	clients         ClientTransport
+	module          control.Module
+	settings        control.Settings
+	startEpoch      float64 // seconds since 1970 at the loop's second 0
+	requestIDPrefix string  // of this start: what request ids begin with
+	lastSeq         uint64
+	batchOpen       bool // the module has heard events since its last Settle
+
+	models    modelCache
+	maxModels int
+	tenants   map[string]int
+	groups    []*group
+	workers   map[control.WorkerID]*Worker
+
+	requests         []*Request
+	freeSlots        []int32
+	inFlight         int
+	freeAttempts     []*Attempt        // free ones
+	freeControlCalls []*ControlCall    // free ones
+	finished         []finishedAttempt // outcomes to be told in this turn
+	reporting        []finishedAttempt
+	reportFinishedFn func()
+
+	subscribed    bool
+	stopping      bool
+	stopDeadline  float64
+	stopTimer     eventloop.Timer
+	evictionTimer eventloop.Timer
+	moduleTimers  map[control.TimerID]*eventloop.Timer
+	exitStatus    *ExitStatus
+	random        *rand.Rand // spreads what dispatchers would else do in step
 }
 
 // ExitStatus tells how a gateway ended.
@@ -89,9 +89,9 @@
 
 type group struct {
 	config.Group
-	effect control.Effect
-	index  control.GroupID
-	meter  groupMeter
+	effect  control.Effect
+	index   control.GroupID
+	metrics groupMetrics
 }
 
 // Options say what a host serves. Settings are what the decisions are told; Config holds what the host itself needs.
@@ -111,20 +111,20 @@
 // New makes a host with a front of its own. Run the loop to serve.
 func New(l *eventloop.Loop, o Options, log zerolog.Logger, start NewModule) (*Gateway, error) {
 	cfg := o.Config
-	g := &Gateway{Loop: l, cfg: cfg, log: log, set: o.Settings, tenants: map[string]int{}, workers: map[control.WorkerID]*Worker{},
-		Members: membership.New(config.WorkerID), wakes: map[control.TimerID]*eventloop.Timer{}, exit: &ExitStatus{}, mostModels: o.MaxModels}
-	if g.mostModels == 0 {
-		g.mostModels = mostModels
+	g := &Gateway{Loop: l, cfg: cfg, log: log, settings: o.Settings, tenants: map[string]int{}, workers: map[control.WorkerID]*Worker{},
+		Members: membership.New(config.WorkerID), moduleTimers: map[control.TimerID]*eventloop.Timer{}, exitStatus: &ExitStatus{}, maxModels: o.MaxModels}
+	if g.maxModels == 0 {
+		g.maxModels = defaultMaxModels
 	}
 	g.models.init()
-	g.epoch, _ = l.WallClock()
-	g.name = cfg.Name + "-" + strconv.FormatUint(rand.Uint64(), 36) + "-" // by chance: a wall clock can tell a time twice
-	g.tellFn = g.tell
-	g.stopTimer.Fire = g.stopLook
-	g.forgetTimer.Fire = g.forget
+	g.startEpoch, _ = l.WallClock()
+	g.requestIDPrefix = cfg.Name + "-" + strconv.FormatUint(rand.Uint64(), 36) + "-" // by chance: a wall clock can tell a time twice
+	g.reportFinishedFn = g.reportFinished
+	g.stopTimer.Fire = g.continueShutdown
+	g.evictionTimer.Fire = g.evictPeriodically
 	g.Metrics = newMetrics(g)
 	for i, c := range cfg.Groups {
-		g.groups = append(g.groups, &group{Group: c, effect: control.ParseEffect(c.Effect), index: control.GroupID(i), meter: g.Metrics.group(c.Name)})
+		g.groups = append(g.groups, &group{Group: c, effect: control.ParseEffect(c.Effect), index: control.GroupID(i), metrics: g.Metrics.forGroup(c.Name)})
 	}
 	for i, t := range cfg.Tenants {
 		g.tenants[t.Name] = i
@@ -133,29 +133,29 @@
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	g.rnd = rand.New(rand.NewPCG(seed, 5))
+	g.random = rand.New(rand.NewPCG(seed, 5))
 	var err error
-	if g.front, err = o.NewClientTransport(g); err != nil {
+	if g.clients, err = o.NewClientTransport(g); err != nil {
 		return nil, err
 	}
-	l.AfterEvents = g.turn
+	l.AfterEvents = g.endBatch
 	l.Defer(func() {
-		g.begin()
-		g.guard(func() { g.module = start(seed, g.set, g) })
+		g.beginBatch()
+		g.callModule(func() { g.module = start(seed, g.settings, g) })
 		if g.module == nil {
 			return
 		}
-		g.guard(func() { g.module.SetNow(l.Now()) })
+		g.callModule(func() { g.module.SetNow(l.Now()) })
 		if err := g.ReplaceWorkers(o.Source, o.Workers); err != nil {
 			g.log.Error().Err(err).Msg("workers of the settings not taken")
 		}
 		if g.cfg.Roster.Discovery == "push" {
 			g.subscribed = true
-			g.tellList(control.ListSnapshot)
+			g.sendWorkerList(control.ListSnapshot)
 		} else {
-			g.tellList(control.ListCached)
+			g.sendWorkerList(control.ListCached)
 		}
-		l.Start(&g.forgetTimer, forgetEvery)
+		l.Start(&g.evictionTimer, evictionInterval)
 	})
 	return g, nil
 }
@@ -184,98 +184,98 @@
 }
 
 // ExitStatus tells how it ended, once the loop has.
-func (g *Gateway) ExitStatus() ExitStatus { return *g.exit }
+func (g *Gateway) ExitStatus() ExitStatus { return *g.exitStatus }
 
-// begin opens a batch of events: the module's clock is set once a turn.
-func (g *Gateway) begin() {
-	if !g.batch {
-		g.batch = true
-		g.clock()
+// beginBatch opens a batch of events: the module's clock is set once a turn.
+func (g *Gateway) beginBatch() {
+	if !g.batchOpen {
+		g.batchOpen = true
+		g.setModuleTime()
 	}
 }
 
 // The calls of the ordinary path, each guarded without a closure.
 
-func (g *Gateway) clock() {
-	defer g.caught()
+func (g *Gateway) setModuleTime() {
+	defer g.recoverPanic()
 	if g.module != nil {
 		g.module.SetNow(g.Loop.Now())
 	}
 }
 
-func (g *Gateway) settle() {
-	defer g.caught()
+func (g *Gateway) reconcile() {
+	defer g.recoverPanic()
 	g.module.Reconcile()
 }
 
-func (g *Gateway) request(in *control.Request) {
-	defer g.caught()
+func (g *Gateway) deliverRequest(in *control.Request) {
+	defer g.recoverPanic()
 	g.module.RequestArrived(*in)
 }
 
-func (g *Gateway) outcome(o *control.AttemptResult) {
-	defer g.caught()
+func (g *Gateway) deliverAttemptResult(o *control.AttemptResult) {
+	defer g.recoverPanic()
 	g.module.AttemptFinished(*o)
 }
 
-func (g *Gateway) timer(id control.TimerID) {
-	defer g.caught()
+func (g *Gateway) deliverTimer(id control.TimerID) {
+	defer g.recoverPanic()
 	g.module.TimerFired(id)
 }
 
-func (g *Gateway) caught() {
+func (g *Gateway) recoverPanic() {
 	if v := recover(); v != nil {
-		g.crash(fmt.Sprint(v), debug.Stack())
+		g.handlePanic(fmt.Sprint(v), debug.Stack())
 	}
 }
 
-// turn closes the batch.
-func (g *Gateway) turn() {
-	if !g.batch {
+// endBatch closes the batch.
+func (g *Gateway) endBatch() {
+	if !g.batchOpen {
 		return
 	}
-	g.batch = false
+	g.batchOpen = false
 	if g.module != nil {
-		g.settle()
+		g.reconcile()
 	}
 }
 
-// guard runs decision code. A panic in it ends the dispatcher: all in flight is failed, nothing is guessed.
-func (g *Gateway) guard(f func()) {
-	defer g.caught()
-	if g.exit.PanicMessage == "" {
+// callModule runs decision code. A panic in it ends the dispatcher: all in flight is failed, nothing is guessed.
+func (g *Gateway) callModule(f func()) {
+	defer g.recoverPanic()
+	if g.exitStatus.PanicMessage == "" {
 		f()
 	}
 }
 
-func (g *Gateway) crash(why string, stack []byte) {
-	g.exit.PanicMessage = why
+func (g *Gateway) handlePanic(why string, stack []byte) {
+	g.exitStatus.PanicMessage = why
 	g.module = nil
 	g.DumpFlightRecorder("crash")
 	g.log.Error().Str("panic", why).Str("stack", string(stack)).Int("in_hand", g.inFlight).Msg("decision code failed; this dispatcher ends")
 	g.Loop.Defer(func() {
-		g.front.Drain()
-		g.failAll("the dispatcher failed")
-		g.stopping, g.stopBy = true, g.Loop.Now()
-		g.stopLook()
+		g.clients.Drain()
+		g.finishAll("the dispatcher failed")
+		g.stopping, g.stopDeadline = true, g.Loop.Now()
+		g.continueShutdown()
 	})
 }
 
-// failAll gives everything in flight its final answer: at a stop shed where that is true, else failed, which promises
+// finishAll gives everything in flight its final answer: at a stop shed where that is true, else failed, which promises
 // nothing.
-func (g *Gateway) failAll(why string) int {
+func (g *Gateway) finishAll(why string) int {
 	n := 0
 	for _, q := range g.requests {
-		if q.live && !q.answered {
+		if q.inUse && !q.finished {
 			n++
-			if g.exit.PanicMessage != "" {
-				g.fail(q, false, why)
+			if g.exitStatus.PanicMessage != "" {
+				g.failRequest(q, false, why)
 			} else {
-				g.answerAtStop(q, why)
+				g.finishAtShutdown(q, why)
 			}
-			g.begin()
+			g.beginBatch()
 			if g.module != nil {
-				g.guard(func() { g.module.RequestCancelled(q.id) })
+				g.callModule(func() { g.module.RequestCancelled(q.id) })
 			}
 		}
 	}
@@ -287,46 +287,46 @@
 func (g *Gateway) Stop(grace float64) {
 	by := g.Loop.Now() + grace
 	if g.stopping {
-		g.stopBy = math.Min(g.stopBy, by)
+		g.stopDeadline = math.Min(g.stopDeadline, by)
 	} else {
 		g.log.Info().Int("in_hand", g.inFlight).Float64("grace_s", grace).Msg("stopping")
 		g.RecordEvent("stopping", "", nil, nil, grace)
-		g.stopping, g.stopBy = true, by
-		g.front.Drain()
+		g.stopping, g.stopDeadline = true, by
+		g.clients.Drain()
 	}
-	g.stopLook()
+	g.continueShutdown()
 }
 
-func (g *Gateway) stopLook() {
+func (g *Gateway) continueShutdown() {
 	now := g.Loop.Now()
-	if g.inFlight > 0 && now >= g.stopBy {
-		if n := g.failAll("the dispatcher is stopping"); n > 0 {
-			g.exit.FailedRequests += n
+	if g.inFlight > 0 && now >= g.stopDeadline {
+		if n := g.finishAll("the dispatcher is stopping"); n > 0 {
+			g.exitStatus.FailedRequests += n
 			g.log.Warn().Int("failed", n).Msg("stop grace ran out; what was in hand is failed")
 		}
 	}
-	if !g.anyOpen() {
+	if !g.hasUnfinishedRequests() {
 		for _, w := range g.workers {
-			w.link.Close()
-			w.link.FailUnsent()
+			w.transport.Close()
+			w.transport.FailUnsent()
 		}
-		g.stopBy = math.Min(g.stopBy, now)
-		if g.Loop.Stats.Connections.Load() == 0 && g.front.ConnectionCount() == 0 || now > g.stopBy+stopLinger || g.front.ConnectionCount() == 0 && g.lingered(now) {
+		g.stopDeadline = math.Min(g.stopDeadline, now)
+		if g.Loop.Stats.Connections.Load() == 0 && g.clients.ConnectionCount() == 0 || now > g.stopDeadline+lingerTimeout || g.clients.ConnectionCount() == 0 && g.lingered(now) {
 			g.log.Info().Msg("stopped")
 			g.Loop.Stop()
 			return
 		}
 	}
-	g.Loop.Start(&g.stopTimer, stopPoll)
+	g.Loop.Start(&g.stopTimer, shutdownPollInterval)
 }
 
 // lingered gives the last answers some turns to leave the kernel.
-func (g *Gateway) lingered(now float64) bool { return now > g.stopBy+0.1 }
+func (g *Gateway) lingered(now float64) bool { return now > g.stopDeadline+0.1 }
 
-// anyOpen tells whether anything still waits for its final answer.
-func (g *Gateway) anyOpen() bool {
+// hasUnfinishedRequests tells whether anything still waits for its final answer.
+func (g *Gateway) hasUnfinishedRequests() bool {
 	for _, q := range g.requests {
-		if q.live && !q.answered {
+		if q.inUse && !q.finished {
 			return true
 		}
 	}
@@ -334,31 +334,31 @@
 }
 
 // RandomFloat is a number from 0 up to 1, for what dispatchers would else do in step.
-func (g *Gateway) RandomFloat() float64 { return g.rnd.Float64() }
+func (g *Gateway) RandomFloat() float64 { return g.random.Float64() }
 
 // SetLog changes the log in service.
 func (g *Gateway) SetLog(log zerolog.Logger, sample int) { g.log, g.cfg.Log.Sample = log, sample }
 
-// forget drops what is long gone, now and then.
-func (g *Gateway) forget() {
+// evictPeriodically drops what is long gone, now and then.
+func (g *Gateway) evictPeriodically() {
 	now := g.Loop.Now()
-	g.EvictIdle(now - goneLong)
-	g.Loop.Start(&g.forgetTimer, forgetEvery)
+	g.EvictIdle(now - evictAfter)
+	g.Loop.Start(&g.evictionTimer, evictionInterval)
 }
 
 // EvictIdle drops models nobody has asked for, and workers taken off the list, since a time.
 func (g *Gateway) EvictIdle(since float64) {
-	g.models.forget(since, math.MaxInt)
+	g.models.evict(since, math.MaxInt)
 	g.Members.EvictGone(since, func(r *membership.Worker) bool {
 		w := g.workers[r.ID]
 		if w == nil {
 			return true
 		}
-		if w.pending > 0 || w.hello != nil || w.again.Pending() || w.link.ConnectionCount() > 0 {
+		if w.callsInFlight > 0 || w.startupProbeCall != nil || w.probeRetryTimer.Pending() || w.transport.ConnectionCount() > 0 {
 			return false
 		}
 		delete(g.workers, r.ID)
-		g.Metrics.forget(r.Name)
+		g.Metrics.forgetWorker(r.Name)
 		return true
 	})
 }
--- a/internal/gateway/http_link.go
+++ b/internal/gateway/http_workers.go
@@ -10,97 +10,97 @@
 	"mastchute/internal/rules"
 )
 
-// httpLink is the way to one worker over HTTP/1.1.
-type httpLink struct {
-	g *Gateway
+// httpWorkerTransport is the way to one worker over HTTP/1.1.
+type httpWorkerTransport struct {
+	gateway *Gateway
 	*httpconn.Pool
 }
 
-func newHTTPLink(g *Gateway, w *Worker) *httpLink {
+func newHTTPWorkerTransport(g *Gateway, w *Worker) *httpWorkerTransport {
 	l := g.cfg.Limits
-	return &httpLink{g, httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{MaxConnections: l.WorkerConnections, MaxIdle: l.WorkerIdle,
+	return &httpWorkerTransport{g, httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{MaxConnections: l.WorkerConnections, MaxIdle: l.WorkerIdle,
 		IdleTimeout: l.WorkerIdleTimeout.Seconds, ConnectTimeout: l.ConnectTimeout.Seconds,
 		OnConnectionLost: func() {
 			if w.ConnectionLost() {
-				g.greet(w)
+				g.startStartupProbe(w)
 			}
 		}})}
 }
 
-// httpCall is the record of one attempt; it stays with it.
-type httpCall struct {
-	f       *Attempt
-	call    httpconn.Call
-	head    []byte
-	status  int
-	headers []byte // of the answer, for the client
-	length  int64  // of the answer, -1 for not told
-	told    told
+// httpAttempt is the record of one attempt; it stays with it.
+type httpAttempt struct {
+	attempt       *Attempt
+	call          httpconn.Call
+	head          []byte
+	status        int
+	headers       []byte // of the answer, for the client
+	contentLength int64  // of the answer, -1 for not told
+	metadata      responseMetadata
 }
 
-// httpOrder is the record of one order; it stays with it.
-type httpOrder struct {
-	o    *ControlCall
-	call httpconn.Call
-	head []byte
-	body []byte
-	told told
+// httpControlCall is the record of one order; it stays with it.
+type httpControlCall struct {
+	controlCall *ControlCall
+	call        httpconn.Call
+	head        []byte
+	body        []byte
+	metadata    responseMetadata
 }
 
 // SendAttempt implements Link.
-func (l *httpLink) SendAttempt(f *Attempt) {
-	c, _ := f.TransportState.(*httpCall)
+func (l *httpWorkerTransport) SendAttempt(f *Attempt) {
+	c, _ := f.TransportState.(*httpAttempt)
 	if c == nil {
-		c = &httpCall{f: f}
+		c = &httpAttempt{attempt: f}
 		c.call.Handler, f.TransportState = c, c
 	}
-	x := f.Request.Responder.(*httpClient).x
-	c.headers, c.status, c.length, c.told = c.headers[:0], 0, -1, told{}
-	c.head = l.g.requestHead(c.head[:0], x, f)
+	x := f.Request.Responder.(*httpResponseWriter).exchange
+	c.headers, c.status, c.contentLength, c.metadata = c.headers[:0], 0, -1, responseMetadata{}
+	c.head = l.gateway.requestHead(c.head[:0], x, f)
 	c.call.SendDeadline = f.SendDeadline
 	l.Do(&c.call, c.head, x.Body)
 }
 
 // RewriteHead implements httpconn.Renewer.
-func (c *httpCall) RewriteHead() ([]byte, bool) {
-	f := c.f
-	now := f.g.Loop.Clock()
+func (c *httpAttempt) RewriteHead() ([]byte, bool) {
+	f := c.attempt
+	now := f.gateway.Loop.Clock()
 	if f.CheckFirstByte(now, now, 0) != rules.Allowed {
 		return nil, false
 	}
-	c.head = f.g.requestHead(c.head[:0], f.Request.Responder.(*httpClient).x, f)
+	c.head = f.gateway.requestHead(c.head[:0], f.Request.Responder.(*httpResponseWriter).exchange, f)
 	return c.head, true
 }
 
 // CancelAttempt implements Link.
-func (l *httpLink) CancelAttempt(f *Attempt) {
-	if c, _ := f.TransportState.(*httpCall); c != nil {
+func (l *httpWorkerTransport) CancelAttempt(f *Attempt) {
+	if c, _ := f.TransportState.(*httpAttempt); c != nil {
 		c.call.Cancel()
 	}
 }
 
 // SentAt implements Link.
-func (l *httpLink) SentAt(f *Attempt) float64 {
-	if c, _ := f.TransportState.(*httpCall); c != nil {
+func (l *httpWorkerTransport) SentAt(f *Attempt) float64 {
+	if c, _ := f.TransportState.(*httpAttempt); c != nil {
 		return c.call.SentAt
 	}
 	return 0
 }
 
 // FullySent implements Link.
-func (l *httpLink) FullySent(f *Attempt) bool {
-	c, _ := f.TransportState.(*httpCall)
+func (l *httpWorkerTransport) FullySent(f *Attempt) bool {
+	c, _ := f.TransportState.(*httpAttempt)
 	return c != nil && c.call.FullySent()
 }
 
 // SendControlCall implements Link.
-func (l *httpLink) SendControlCall(o *ControlCall) {
-	c, _ := o.TransportState.(*httpOrder)
+func (l *httpWorkerTransport) SendControlCall(o *ControlCall) {
+	c, _ := o.TransportState.(*httpControlCall)
 	if c == nil {
-		c = &httpOrder{o: o}
+		c = &httpControlCall{controlCall: o}
 		c.call.Handler, o.TransportState = c, c
 	}
-	c.told = told{}
+	c.metadata = responseMetadata{}
 	method, target, body := "GET", "/v2/load", ""
 	switch o.Kind {
 	case CallLoadModel:
@@ -113,7 +113,7 @@
 	b = append(b, "Host: "...)
 	b = o.Worker.Addr.AppendTo(b)
 	b = append(b, "\r\nMastchute-Dispatcher: "...)
-	b = append(b, l.g.cfg.Name...)
+	b = append(b, l.gateway.cfg.Name...)
 	b = append(b, "\r\n"...)
 	if method == "POST" {
 		b = append(b, "Content-Type: application/json\r\n"...)
@@ -124,8 +124,8 @@
 }
 
 // CancelControlCall implements Link.
-func (l *httpLink) CancelControlCall(o *ControlCall) {
-	if c, _ := o.TransportState.(*httpOrder); c != nil {
+func (l *httpWorkerTransport) CancelControlCall(o *ControlCall) {
+	if c, _ := o.TransportState.(*httpControlCall); c != nil {
 		c.call.Cancel()
 	}
 }
@@ -155,11 +155,11 @@
 	}
 	if !key && q.group.Effect != "retriable" { // a mark of our own, good for our own retries
 		b = append(b, "Idempotency-Key: "...)
-		b = g.appendID(b, q)
+		b = g.appendRequestID(b, q)
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "Mastchute-Inference: "...)
-	b = g.appendID(b, q)
+	b = g.appendRequestID(b, q)
 	b = append(b, "\r\nMastchute-Forward: "...)
 	b = strconv.AppendInt(b, int64(f.Index), 10)
 	b = append(b, "\r\nMastchute-Dispatcher: "...)
@@ -167,25 +167,25 @@
 	b = append(b, "\r\nMastchute-Group: "...)
 	b = append(b, q.group.Name...)
 	b = append(b, "\r\nMastchute-Timeout: "...)
-	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), q.notAfter))/1e3)
+	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), q.deadline))/1e3)
 	b = append(b, "\r\n"...)
 	b = httpcodec.AppendLength(b, int64(len(x.Body)))
 	return append(b, "\r\n"...)
 }
 
 // ResponseHead implements httpconn.Caller.
-func (c *httpCall) ResponseHead(h *httpcodec.Head) {
-	f, g := c.f, c.f.g
-	c.told = classify(h, g.cfg.Report)
-	f.Response = c.told.WorkerResponse
-	c.status, c.length = h.Status, h.Length
-	g.heard(f.Worker, c.told.start)
-	if m := f.Request.model; c.told.Result == control.Succeeded { // what the catalogue does not say, workers may
-		m.Memory = cmp.Or(m.Memory, c.told.memory)
-		m.Lanes = cmp.Or(m.Lanes, c.told.lanes)
-		m.Load = cmp.Or(m.Load, c.told.load)
+func (c *httpAttempt) ResponseHead(h *httpcodec.Head) {
+	f, g := c.attempt, c.attempt.gateway
+	c.metadata = classifyResponse(h, g.cfg.Report)
+	f.Response = c.metadata.WorkerResponse
+	c.status, c.contentLength = h.Status, h.Length
+	g.observeStart(f.Worker, c.metadata.startEpoch)
+	if m := f.Request.model; c.metadata.Result == control.Succeeded { // what the catalogue does not say, workers may
+		m.Memory = cmp.Or(m.Memory, c.metadata.memoryMB)
+		m.Lanes = cmp.Or(m.Lanes, c.metadata.concurrency)
+		m.Load = cmp.Or(m.Load, c.metadata.loadSeconds)
 	}
-	if c.told.Result != control.Succeeded || f.Request.answered {
+	if c.metadata.Result != control.Succeeded || f.Request.finished {
 		return
 	}
 	for i := range h.Headers {
@@ -199,68 +199,68 @@
 		c.headers = append(c.headers, "\r\n"...)
 	}
 	if h.Length > g.cfg.Limits.Answer.Bytes {
-		c.stream()
+		c.startStreaming()
 	}
 }
 
 // ResponseBody implements httpconn.Caller: an answer is held whole up to a limit, and goes through as it comes beyond it.
-func (c *httpCall) ResponseBody(b []byte) {
-	f := c.f
+func (c *httpAttempt) ResponseBody(b []byte) {
+	f := c.attempt
 	q := f.Request
 	switch {
-	case c.told.Result != control.Succeeded || q.answered && q.streaming != f:
+	case c.metadata.Result != control.Succeeded || q.finished && q.streamingAttempt != f:
 		return
-	case q.streaming == f:
-		if !q.Responder.(*httpClient).x.WriteStream(b) {
+	case q.streamingAttempt == f:
+		if !q.Responder.(*httpResponseWriter).exchange.WriteStream(b) {
 			c.call.Pause()
 		}
 	default:
 		f.ResponseBody = append(f.ResponseBody, b...)
-		if int64(len(f.ResponseBody)) > f.g.cfg.Limits.Answer.Bytes {
-			c.stream()
+		if int64(len(f.ResponseBody)) > f.gateway.cfg.Limits.Answer.Bytes {
+			c.startStreaming()
 		}
 	}
 }
 
-// stream begins to pass the answer on as it comes.
-func (c *httpCall) stream() {
-	f := c.f
-	cl := f.Request.Responder.(*httpClient)
-	x := cl.x
-	b := cl.p.marks(x.StartResponse(c.status), f.Request, answerReturned)
+// startStreaming begins to pass the answer on as it comes.
+func (c *httpAttempt) startStreaming() {
+	f := c.attempt
+	cl := f.Request.Responder.(*httpResponseWriter)
+	x := cl.exchange
+	b := cl.transport.appendMarkHeaders(x.StartResponse(c.status), f.Request, outcomeReturned)
 	b = append(b, c.headers...)
-	x.StartStream(b, c.length)
+	x.StartStream(b, c.contentLength)
 	if len(f.ResponseBody) > 0 && !x.WriteStream(f.ResponseBody) {
 		c.call.Pause()
 	}
 	f.ResponseBody = f.ResponseBody[:0]
-	f.g.stream(f)
+	f.gateway.startStreaming(f)
 }
 
 // ResponseDone implements httpconn.Caller.
-func (c *httpCall) ResponseDone(err error) {
+func (c *httpAttempt) ResponseDone(err error) {
 	if err != nil {
-		c.f.Finish(lost(err, c.call.AnyByteSent()))
+		c.attempt.Finish(resultOfError(err, c.call.AnyByteSent()))
 		return
 	}
-	c.f.Finish(c.told.Result)
+	c.attempt.Finish(c.metadata.Result)
 }
 
 // ResponseHead implements httpconn.Caller.
-func (c *httpOrder) ResponseHead(h *httpcodec.Head) {
-	c.told = classify(h, c.o.g.cfg.Report)
-	c.o.Response = c.told.WorkerResponse
-	c.o.g.heard(c.o.Worker, c.told.start)
+func (c *httpControlCall) ResponseHead(h *httpcodec.Head) {
+	c.metadata = classifyResponse(h, c.controlCall.gateway.cfg.Report)
+	c.controlCall.Response = c.metadata.WorkerResponse
+	c.controlCall.gateway.observeStart(c.controlCall.Worker, c.metadata.startEpoch)
 }
 
 // ResponseBody implements httpconn.Caller.
-func (c *httpOrder) ResponseBody([]byte) {}
+func (c *httpControlCall) ResponseBody([]byte) {}
 
 // ResponseDone implements httpconn.Caller.
-func (c *httpOrder) ResponseDone(err error) {
+func (c *httpControlCall) ResponseDone(err error) {
 	if err != nil {
-		c.o.Finish(lost(err, c.call.AnyByteSent()))
+		c.controlCall.Finish(resultOfError(err, c.call.AnyByteSent()))
 		return
 	}
-	c.o.Finish(c.told.Result)
+	c.controlCall.Finish(c.metadata.Result)
 }
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -7,7 +7,7 @@
 	"mastchute/internal/membership"
 )
 
-// The host knows clients and workers by what follows and by nothing else. HTTP/1.1 (http_front.go, http_link.go) is one
+// The host knows clients and workers by what follows and by nothing else. HTTP/1.1 (http_clients.go, http_workers.go) is one
 // implementation, internal/platform the other. All of it runs on the loop.
 
 // ResponseWriter is the client's side of one request. The host calls exactly one method, once, and forgets the client; when
@@ -72,14 +72,14 @@
 // Worker is a worker of the list of workers with the way to it.
 type Worker struct {
 	*membership.Worker
-	link    WorkerTransport
-	addr    netip.AddrPort // the link's
-	epoch   float64        // the start that the list told when the link was made
-	told    bool           // the decisions have been told of it
-	pending int            // attempts and orders that have not ended
-	hello   *ControlCall
-	again   timer // asks it once more for its start
-	meter   workerMeter
+	transport        WorkerTransport
+	transportAddr    netip.AddrPort // the link's
+	transportEpoch   float64        // the start that the list told when the link was made
+	announced        bool           // the decisions have been told of it
+	callsInFlight    int            // attempts and orders that have not ended
+	startupProbeCall *ControlCall
+	probeRetryTimer  timer // asks it once more for its start
+	metrics          workerMetrics
 }
 
 // Attempt is one sending of a request to a worker.
@@ -93,20 +93,20 @@
 	// NotAfter is the loop's time after which none of it may leave: a repeat would no longer be dropped by the workers.
 	SendDeadline float64
 
-	g      *Gateway
-	made   float64 // when the decisions asked for it
-	timer  timer
-	window timer // fires at NotAfter
-	done   bool
-	barred bool // the link never had it
-	result control.Result
+	gateway      *Gateway
+	createdAt    float64 // when the decisions asked for it
+	timeoutTimer timer
+	dedupTimer   timer // fires at NotAfter
+	finished     bool
+	blocked      bool // the link never had it
+	result       control.Result
 }
 
 // Finished tells whether it has ended.
-func (f *Attempt) Finished() bool { return f.done }
+func (f *Attempt) Finished() bool { return f.finished }
 
 // Finish tells how it ended, by a result that Heard or the connection tells; nothing after the first time.
-func (f *Attempt) Finish(r control.Result) { f.g.end(f, r) }
+func (f *Attempt) Finish(r control.Result) { f.gateway.finishAttempt(f, r) }
 
 // ControlCallKind says what an order asks for.
 type ControlCallKind uint8
@@ -127,10 +127,10 @@
 	Response       WorkerResponse
 	TransportState any // the link's own record
 
-	g     *Gateway
-	made  float64
-	timer timer
-	done  bool
+	gateway      *Gateway
+	createdAt    float64
+	timeoutTimer timer
+	finished     bool
 }
 
 // Finish tells how it ended; nothing after the first time.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,33 +12,33 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	orders, probes, listFailed prometheus.Counter
-	refusals, guards, taken    *prometheus.CounterVec
-	violations, overtaken      *prometheus.CounterVec
-	answered                   *prometheus.CounterVec
-	latency                    *prometheus.HistogramVec
-	attempts, ends             *prometheus.CounterVec
+	loadOrders, probes, listFailures prometheus.Counter
+	rejections, guards, accepted     *prometheus.CounterVec
+	violations, heldBack             *prometheus.CounterVec
+	outcomes                         *prometheus.CounterVec
+	latency                          *prometheus.HistogramVec
+	attempts, attemptResults         *prometheus.CounterVec
 }
 
-type groupMeter struct {
-	taken    prometheus.Counter
-	answered [answers]prometheus.Counter
+type groupMetrics struct {
+	accepted prometheus.Counter
+	outcomes [outcomeCount]prometheus.Counter
 	latency  prometheus.Observer
 }
 
-func (m groupMeter) final(a answer, took float64) {
-	m.answered[a].Inc()
-	if a == answerReturned {
+func (m groupMetrics) requestFinished(a outcome, took float64) {
+	m.outcomes[a].Inc()
+	if a == outcomeReturned {
 		m.latency.Observe(took)
 	}
 }
 
-type workerMeter struct {
+type workerMetrics struct {
 	attempts prometheus.Counter
-	ends     [control.ModelNotLoaded + 1]prometheus.Counter
+	results  [control.ModelNotLoaded + 1]prometheus.Counter
 }
 
-func (m workerMeter) ended(r control.Result) { m.ends[r].Inc() }
+func (m workerMetrics) attemptFinished(r control.Result) { m.results[r].Inc() }
 
 var resultNames = [...]string{"returned", "errored", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot", "missed"}
 
@@ -57,17 +57,17 @@
 	gauge := func(name, help string, f func() float64) {
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 	}
-	m.orders = counter("mastchute_load_orders_total", "Load orders sent to workers.")
+	m.loadOrders = counter("mastchute_load_orders_total", "Load orders sent to workers.")
 	m.probes = counter("mastchute_probes_total", "Probes sent to workers.")
-	m.listFailed = counter("mastchute_roster_failures_total", "Times a source of the list of workers could not be read.")
-	m.refusals = vec("mastchute_refusals_total", "Requests refused before an inference was taken, by reason.", "reason")
+	m.listFailures = counter("mastchute_roster_failures_total", "Times a source of the list of workers could not be read.")
+	m.rejections = vec("mastchute_refusals_total", "Requests refused before an inference was taken, by reason.", "reason")
 	m.guards = vec("mastchute_guards_total", "Times the host barred what a rule forbids; each is a fault to report.", "guard")
 	m.violations = vec("mastchute_violations_total", "Acts that the decisions asked for and a rule forbids; barred, and a fault to report.", "rule", "reason")
-	m.overtaken = vec("mastchute_overtaken_total", "Attempts held back at the last moment, as events overtook them; no fault.", "rule", "reason")
-	m.taken = vec("mastchute_taken_total", "Inferences taken.", "group")
-	m.answered = vec("mastchute_answers_total", "Final answers, by kind; left means that the client went first.", "group", "answer")
+	m.heldBack = vec("mastchute_overtaken_total", "Attempts held back at the last moment, as events overtook them; no fault.", "rule", "reason")
+	m.accepted = vec("mastchute_taken_total", "Inferences taken.", "group")
+	m.outcomes = vec("mastchute_answers_total", "Final answers, by kind; left means that the client went first.", "group", "answer")
 	m.attempts = vec("mastchute_forwards_total", "Forwards to workers.", "worker")
-	m.ends = vec("mastchute_forward_ends_total", "How forwards ended.", "worker", "result")
+	m.attemptResults = vec("mastchute_forward_ends_total", "How forwards ended.", "worker", "result")
 	m.latency = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "mastchute_returned_seconds",
 		Help: "Time from taking an inference to its returned answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}, []string{"group"})
 	m.Registry.MustRegister(m.latency, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -83,27 +83,27 @@
 	return m
 }
 
-func (m *Metrics) refused(why string) { m.refusals.WithLabelValues(why).Inc() }
-func (m *Metrics) guard(which string) { m.guards.WithLabelValues(which).Inc() }
+func (m *Metrics) countRejection(why string) { m.rejections.WithLabelValues(why).Inc() }
+func (m *Metrics) countGuard(which string)   { m.guards.WithLabelValues(which).Inc() }
 
-func (m *Metrics) group(name string) groupMeter {
-	g := groupMeter{taken: m.taken.WithLabelValues(name), latency: m.latency.WithLabelValues(name)}
-	for a := range answers {
-		g.answered[a] = m.answered.WithLabelValues(name, a.String())
+func (m *Metrics) forGroup(name string) groupMetrics {
+	g := groupMetrics{accepted: m.accepted.WithLabelValues(name), latency: m.latency.WithLabelValues(name)}
+	for a := range outcomeCount {
+		g.outcomes[a] = m.outcomes.WithLabelValues(name, a.String())
 	}
 	return g
 }
 
-func (m *Metrics) worker(name string) workerMeter {
-	w := workerMeter{attempts: m.attempts.WithLabelValues(name)}
-	for r := range w.ends {
-		w.ends[r] = m.ends.WithLabelValues(name, resultNames[r])
+func (m *Metrics) forWorker(name string) workerMetrics {
+	w := workerMetrics{attempts: m.attempts.WithLabelValues(name)}
+	for r := range w.results {
+		w.results[r] = m.attemptResults.WithLabelValues(name, resultNames[r])
 	}
 	return w
 }
 
-// forget drops the counters of a worker.
-func (m *Metrics) forget(worker string) {
+// forgetWorker drops the counters of a worker.
+func (m *Metrics) forgetWorker(worker string) {
 	m.attempts.DeleteLabelValues(worker)
-	m.ends.DeletePartialMatch(prometheus.Labels{"worker": worker})
+	m.attemptResults.DeletePartialMatch(prometheus.Labels{"worker": worker})
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	mostModels = 100_000 // models kept; more are refused, so that clients cannot fill the memory with names
-	modelIdle  = 300.0   // s after which a model nobody asks for is forgotten; its id is the same when it comes back
+	defaultMaxModels = 100_000 // models kept; more are refused, so that clients cannot fill the memory with names
+	modelIdleTimeout = 300.0   // s after which a model nobody asks for is forgotten; its id is the same when it comes back
 )
 
 // Model is one model by name. Memory is in MB, Load in seconds; 0 where not told.
@@ -22,39 +22,39 @@
 	Load   float64
 
 	group      *group
-	used       float64 // when it was asked for last
-	refs       int     // requests and orders in flight that name it
+	lastUsed   float64 // when it was asked for last
+	inFlight   int     // requests and orders in flight that name it
 	prev, next *Model  // in the order of use
 }
 
-// models are those in use of late, by name and id, in the order of their last use.
-type models struct {
+// modelCache are those in use of late, by name and id, in the order of their last use.
+type modelCache struct {
 	byName map[string]*Model
 	byID   map[control.ModelID]*Model
-	oldest Model // the ring's own place: next is the one used longest ago
+	ring   Model // the ring's own place: next is the one used longest ago
 }
 
-func (s *models) init() {
+func (s *modelCache) init() {
 	s.byName, s.byID = map[string]*Model{}, map[control.ModelID]*Model{}
-	s.oldest.next, s.oldest.prev = &s.oldest, &s.oldest
+	s.ring.next, s.ring.prev = &s.ring, &s.ring
 }
 
-func (s *models) unlink(m *Model) { m.prev.next, m.next.prev = m.next, m.prev }
+func (s *modelCache) unlink(m *Model) { m.prev.next, m.next.prev = m.next, m.prev }
 
-func (s *models) use(m *Model, now float64) {
+func (s *modelCache) touch(m *Model, now float64) {
 	if m.next != nil {
 		s.unlink(m)
 	}
-	m.used = now
-	m.prev, m.next = s.oldest.prev, &s.oldest
-	m.prev.next, s.oldest.prev = m, m
+	m.lastUsed = now
+	m.prev, m.next = s.ring.prev, &s.ring
+	m.prev.next, s.ring.prev = m, m
 }
 
-// forget drops those not asked for since a time; with room wanted, any that is not in flight.
-func (s *models) forget(since float64, most int) {
-	for m := s.oldest.next; m != &s.oldest && (m.used < since || len(s.byID) >= most); {
+// evict drops those not asked for since a time; with room wanted, any that is not in flight.
+func (s *modelCache) evict(since float64, most int) {
+	for m := s.ring.next; m != &s.ring && (m.lastUsed < since || len(s.byID) >= most); {
 		next := m.next
-		if m.refs == 0 {
+		if m.inFlight == 0 {
 			s.unlink(m)
 			delete(s.byName, m.Name)
 			delete(s.byID, m.ID)
@@ -63,10 +63,10 @@
 	}
 }
 
-// lookup returns a model by its name, nil where the catalogue has none like it.
-func (g *Gateway) lookup(name []byte) (*Model, error) {
+// resolveModel returns a model by its name, nil where the catalogue has none like it.
+func (g *Gateway) resolveModel(name []byte) (*Model, error) {
 	if m := g.models.byName[string(name)]; m != nil {
-		g.models.use(m, g.Loop.Now())
+		g.models.touch(m, g.Loop.Now())
 		return m, nil
 	}
 	for i := range g.cfg.Models {
@@ -89,7 +89,7 @@
 func (g *Gateway) FindModel(name []byte) *Model {
 	m := g.models.byName[string(name)]
 	if m != nil {
-		g.models.use(m, g.Loop.Now())
+		g.models.touch(m, g.Loop.Now())
 	}
 	return m
 }
@@ -97,22 +97,22 @@
 // AddModel takes a model in that is not in use yet.
 func (g *Gateway) AddModel(d Model) (*Model, error) {
 	now := g.Loop.Now()
-	g.models.forget(now-modelIdle, g.mostModels)
+	g.models.evict(now-modelIdleTimeout, g.maxModels)
 	if other := g.models.byID[d.ID]; other != nil {
 		if other.Name != d.Name {
 			return nil, fmt.Errorf("its id is that of model %s by chance", other.Name)
 		}
 		other.Group, other.Memory, other.Lanes, other.Load, other.group = d.Group, d.Memory, d.Lanes, d.Load, g.groups[d.Group]
 		g.models.byName[other.Name] = other // named anew
-		g.models.use(other, now)
+		g.models.touch(other, now)
 		return other, nil
 	}
-	if len(g.models.byID) >= g.mostModels {
+	if len(g.models.byID) >= g.maxModels {
 		return nil, fmt.Errorf("too many model names were seen")
 	}
 	m := &Model{Name: d.Name, ID: d.ID, Group: d.Group, Memory: d.Memory, Lanes: d.Lanes, Load: d.Load, group: g.groups[d.Group]}
 	g.models.byName[m.Name], g.models.byID[m.ID] = m, m
-	g.models.use(m, now)
+	g.models.touch(m, now)
 	return m, nil
 }
 
--- a/internal/gateway/race_off_test.go
+++ b/internal/gateway/race_off_test.go
@@ -2,4 +2,4 @@
 
 package gateway
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -54,21 +54,21 @@
 	At       string  `json:"at,omitempty"`
 }
 
-// viewer is what a module offers where it can be looked into.
-type viewer interface {
+// inspector is what a module offers where it can be looked into.
+type inspector interface {
 	View(most int) ([]control.WorkerView, []control.RequestView)
 }
 
 // Status takes a snapshot. On the loop.
 func (g *Gateway) Status() Status {
-	s := Status{Name: g.cfg.Name, Now: g.Loop.Now(), Stopping: g.stopping, Crash: g.exit.PanicMessage, Version: g.Members.Version,
-		Taken: g.seq, InHand: g.inFlight, Connections: g.Loop.Stats.Connections.Load(), Memory: g.front.BufferedBytes(),
+	s := Status{Name: g.cfg.Name, Now: g.Loop.Now(), Stopping: g.stopping, Crash: g.exitStatus.PanicMessage, Version: g.Members.Version,
+		Taken: g.lastSeq, InHand: g.inFlight, Connections: g.Loop.Stats.Connections.Load(), Memory: g.clients.BufferedBytes(),
 		Workers: []WorkerStatus{}, Hand: []RequestStatus{}}
 	views := map[control.WorkerID]control.WorkerView{}
 	var hand []control.RequestView
-	if v, ok := g.module.(viewer); ok && g.module != nil {
+	if v, ok := g.module.(inspector); ok && g.module != nil {
 		var list []control.WorkerView
-		g.guard(func() { list, hand = v.View(viewMost) })
+		g.callModule(func() { list, hand = v.View(maxListedRequests) })
 		for _, w := range list {
 			views[w.ID] = w
 		}
@@ -80,7 +80,7 @@
 		}
 		v := views[r.ID]
 		ws := WorkerStatus{Name: r.Name, Address: r.Addr.String(), State: r.StateName(), From: r.Source.String(), Version: r.Version,
-			Heard: r.ChangedAt, Told: w.told, Connections: w.link.ConnectionCount(), Queued: w.link.QueuedCount(), Out: v.InFlight, Work: v.QueuedWork, Bad: v.FailureRate,
+			Heard: r.ChangedAt, Told: w.announced, Connections: w.transport.ConnectionCount(), Queued: w.transport.QueuedCount(), Out: v.InFlight, Work: v.QueuedWork, Bad: v.FailureRate,
 			Aside: v.Ejected, Report: v.ReportedInFlight, Warm: []string{}}
 		if r.Epoch > 0 {
 			age := s.Now - r.StartedAt
@@ -94,12 +94,12 @@
 		s.Workers = append(s.Workers, ws)
 	}
 	for _, h := range hand {
-		q := g.lookupRequest(h.ID)
+		q := g.findRequest(h.ID)
 		if q == nil {
 			continue
 		}
-		hs := RequestStatus{Request: string(g.appendID(nil, q)), Model: q.model.Name, Group: q.group.Name, Age: h.Age, Left: h.TimeLeft,
-			Attempts: q.attempted, Out: h.InFlight, Why: h.State}
+		hs := RequestStatus{Request: string(g.appendRequestID(nil, q)), Model: q.model.Name, Group: q.group.Name, Age: h.Age, Left: h.TimeLeft,
+			Attempts: q.attemptCount, Out: h.InFlight, Why: h.State}
 		if w := g.workers[h.Worker]; w != nil {
 			hs.At = w.Name
 		}
@@ -109,11 +109,11 @@
 }
 
 // Ready tells whether there is a worker to attempt to. On the loop.
-func (g *Gateway) Ready() bool { return g.ready() }
+func (g *Gateway) Ready() bool { return g.hasReadyWorker() }
 
-// logFinal writes one line for a final answer: each at debug level, one of so many at info level. The time split is
+// logFinished writes one line for a final answer: each at debug level, one of so many at info level. The time split is
 // in seconds: held until its last attempt, connect until that was handed to a connection, worker until the answer.
-func (g *Gateway) logFinal(q *Request, a answer, now float64) {
+func (g *Gateway) logFinished(q *Request, a outcome, now float64) {
 	level := zerolog.DebugLevel
 	if n := g.cfg.Log.Sample; n > 0 && q.seq%uint64(n) == 0 {
 		level = zerolog.InfoLevel
@@ -121,18 +121,18 @@
 	if g.log.GetLevel() > level {
 		return
 	}
-	e := g.log.WithLevel(level).Str("inference", string(g.appendID(nil, q))).Str("model", q.model.Name).
-		Str("group", q.group.Name).Stringer("answer", a).Int("forwards", q.attempted)
+	e := g.log.WithLevel(level).Str("inference", string(g.appendRequestID(nil, q))).Str("model", q.model.Name).
+		Str("group", q.group.Name).Stringer("answer", a).Int("forwards", q.attemptCount)
 	if q.tenant >= 0 {
 		e = e.Str("tenant", g.cfg.Tenants[q.tenant].Name)
 	}
 	held := now - q.arrivedAt
-	if q.attempted > 0 {
-		f := q.attempts[q.attempted-1]
-		held = f.made - q.arrivedAt
+	if q.attemptCount > 0 {
+		f := q.attempts[q.attemptCount-1]
+		held = f.createdAt - q.arrivedAt
 		e = e.Str("worker", f.Worker.Name)
-		if at := f.Worker.link.SentAt(f); at > 0 {
-			e = e.Float64("connect_s", at-f.made).Float64("worker_s", now-at)
+		if at := f.Worker.transport.SentAt(f); at > 0 {
+			e = e.Float64("connect_s", at-f.createdAt).Float64("worker_s", now-at)
 		}
 	}
 	e.Float64("held_s", held).Float64("total_s", now-q.arrivedAt).Msg("final answer")
--- a/internal/gateway/classify.go
+++ b/internal/gateway/worker_response.go
@@ -12,17 +12,17 @@
 
 // What follows is pure: it reads what a worker said.
 
-// told is what the head of a worker's answer says beside the answer itself.
-type told struct {
+// responseMetadata is what the head of a worker's answer says beside the answer itself.
+type responseMetadata struct {
 	WorkerResponse
-	start  float64 // seconds since 1970; 0 for not told
-	memory float64 // MB, lanes and seconds of a load; 0 for not told
-	lanes  float64
-	load   float64
+	startEpoch  float64 // seconds since 1970; 0 for not told
+	memoryMB    float64 // MB, lanes and seconds of a load; 0 for not told
+	concurrency float64
+	loadSeconds float64
 }
 
-// classify reads the head of an answer. Only a 503 that says Mastchute-Ran: no is proof that nothing ran.
-func classify(h *httpcodec.Head, fields []string) (t told) {
+// classifyResponse reads the head of an answer. Only a 503 that says Mastchute-Ran: no is proof that nothing ran.
+func classifyResponse(h *httpcodec.Head, fields []string) (t responseMetadata) {
 	t.SameModelInFlight = -1
 	ranNot, miss := false, false
 	for i := range h.Headers {
@@ -31,7 +31,7 @@
 			continue
 		}
 		if httpcodec.EqualsLower(n, "endpoint-load-metrics") {
-			t.LoadReportLen = orca(v, fields, t.LoadReport[:])
+			t.LoadReportLen = parseLoadReport(v, fields, t.LoadReport[:])
 			continue
 		}
 		if n[0]|0x20 != 'm' || !httpcodec.EqualsLower(n[:min(10, len(n))], "mastchute-") {
@@ -54,17 +54,17 @@
 				t.ModelState = control.LoadFailed
 			}
 		case httpcodec.EqualsLower(rest, "start"):
-			t.start = number(v)
+			t.startEpoch = parseDecimal(v)
 		case httpcodec.EqualsLower(rest, "crowd"):
-			t.SameModelInFlight = int(number(v))
+			t.SameModelInFlight = int(parseDecimal(v))
 		case httpcodec.EqualsLower(rest, "copies"):
-			t.Replicas = int(number(v))
+			t.Replicas = int(parseDecimal(v))
 		case httpcodec.EqualsLower(rest, "memory"):
-			t.memory = number(v)
+			t.memoryMB = parseDecimal(v)
 		case httpcodec.EqualsLower(rest, "lanes"):
-			t.lanes = number(v)
+			t.concurrency = parseDecimal(v)
 		case httpcodec.EqualsLower(rest, "load"):
-			t.load = number(v)
+			t.loadSeconds = parseDecimal(v)
 		}
 	}
 	switch {
@@ -80,8 +80,8 @@
 	return t
 }
 
-// number reads a decimal that is not negative, of at most 9 digits on either side of the point; 0 for anything else.
-func number(b []byte) float64 {
+// parseDecimal reads a decimal that is not negative, of at most 9 digits on either side of the point; 0 for anything else.
+func parseDecimal(b []byte) float64 {
 	whole, part, scale, point := 0.0, 0.0, 1.0, false
 	if len(b) == 0 || len(b) > 24 {
 		return 0
@@ -102,9 +102,9 @@
 	return whole + part
 }
 
-// orca reads a load report in ORCA's text form: TEXT name=value, named_metrics.name=value, ... It returns the number
+// parseLoadReport reads a load report in ORCA's text form: TEXT name=value, named_metrics.name=value, ... It returns the number
 // of fields, 0 unless every one was told.
-func orca(b []byte, fields []string, out []float64) int {
+func parseLoadReport(b []byte, fields []string, out []float64) int {
 	if len(b) < 5 || string(b[:5]) != "TEXT " || len(fields) > len(out) {
 		return 0
 	}
@@ -132,7 +132,7 @@
 		}
 		for k, f := range fields {
 			if string(name) == f && seen&(1<<k) == 0 {
-				out[k] = number(value)
+				out[k] = parseDecimal(value)
 				seen |= 1 << k
 			}
 		}
@@ -143,10 +143,10 @@
 	return len(fields)
 }
 
-// lost tells what a call that ended without an answer proves: it never ran where no byte of it was written, and may
+// resultOfError tells what a call that ended without an answer proves: it never ran where no byte of it was written, and may
 // have run otherwise. A connection that was kept open and that the worker was closing is the classic trap: once a
 // byte was written to it, the attempt may have run.
-func lost(err error, wrote bool) control.Result {
+func resultOfError(err error, wrote bool) control.Result {
 	switch {
 	case wrote:
 		return control.ConnectionReset
@@ -157,9 +157,9 @@
 	}
 }
 
-// modelPath splits /v2/models/NAME/VERB; ok is false for anything else. Percent escapes are not undone: a name with
+// parseModelPath splits /v2/models/NAME/VERB; ok is false for anything else. Percent escapes are not undone: a name with
 // one is another name.
-func modelPath(target []byte) (name, verb []byte, ok bool) {
+func parseModelPath(target []byte) (name, verb []byte, ok bool) {
 	const prefix = "/v2/models/"
 	for i, c := range target {
 		if c == '?' {
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -5,15 +5,15 @@
 	"mastchute/internal/membership"
 )
 
-// heard takes what a worker told of its start, seconds since 1970.
-func (g *Gateway) heard(w *Worker, epoch float64) {
+// observeStart takes what a worker told of its start, seconds since 1970.
+func (g *Gateway) observeStart(w *Worker, epoch float64) {
 	if epoch <= 0 || epoch == w.Worker.Epoch || w.StartProvided {
 		return
 	}
 	now := g.Loop.Now()
-	if g.Members.ObserveStart(w.Worker, epoch, g.WallClock().ToMonotonic(epoch, now), now) && w.told {
+	if g.Members.ObserveStart(w.Worker, epoch, g.WallClock().ToMonotonic(epoch, now), now) && w.announced {
 		g.log.Info().Str("worker", w.Name).Float64("age_s", now-w.Worker.StartedAt).Msg("worker has a start not heard of: empty and cold")
-		g.tellWorkers([]*Worker{w})
+		g.notifyWorkers([]*Worker{w})
 	}
 }
 
@@ -26,105 +26,105 @@
 // ReplaceWorkers sets what a source of the list of workers names, and tells the decisions what changed.
 func (g *Gateway) ReplaceWorkers(s membership.Source, list []membership.Entry) error {
 	changed, err := g.Members.Replace(s, list, g.Loop.Now())
-	g.changed(changed)
+	g.applyWorkerChanges(changed)
 	return err
 }
 
 // UpdateWorkers takes what a source of the list of workers says of some workers, and tells the decisions.
 func (g *Gateway) UpdateWorkers(s membership.Source, list []membership.Entry) error {
 	changed, err := g.Members.Update(s, list, g.Loop.Now())
-	g.changed(changed)
+	g.applyWorkerChanges(changed)
 	return err
 }
 
 // SetAdminState sets what the admin interface says of a worker, and tells the decisions.
 func (g *Gateway) SetAdminState(e membership.Entry) error {
 	changed, err := g.Members.SetAdminState(e, g.Loop.Now())
-	g.changed(changed)
+	g.applyWorkerChanges(changed)
 	return err
 }
 
 // WorkerListFailed tells that a source of the list of workers could not be read; the list as it was stays in force.
 func (g *Gateway) WorkerListFailed(err error) {
 	g.log.Warn().Err(err).Msg("list of workers not read; the last one stays in force")
-	g.Metrics.listFailed.Inc()
-	g.begin()
+	g.Metrics.listFailures.Inc()
+	g.beginBatch()
 	if g.module != nil && g.cfg.Roster.Discovery == "ask" {
-		g.guard(func() { g.module.UpdateWorkers(control.ListFailed, g.Members.Version, nil) })
+		g.callModule(func() { g.module.UpdateWorkers(control.ListFailed, g.Members.Version, nil) })
 	}
 }
 
 // WorkerEntrySkipped tells that a part of a source could not be read and was left out; the rest of it is in force.
 func (g *Gateway) WorkerEntrySkipped(err error) {
 	g.log.Warn().Err(err).Msg("an entry of the list of workers was left out; the others are in force")
-	g.Metrics.listFailed.Inc()
+	g.Metrics.listFailures.Inc()
 }
 
-func (g *Gateway) changed(list []*membership.Worker) {
+func (g *Gateway) applyWorkerChanges(list []*membership.Worker) {
 	var tell []*Worker
 	for _, r := range list {
 		w := g.workers[r.ID]
-		if w == nil || w.addr != r.Addr || r.StartProvided && w.epoch != r.Epoch {
+		if w == nil || w.transportAddr != r.Addr || r.StartProvided && w.transportEpoch != r.Epoch {
 			if w != nil { // it moved or started anew: another process, of which nothing is known
-				w.link.Close()
-				w.link.FailUnsent()
-				if w.hello != nil {
-					w.link.CancelControlCall(w.hello)
+				w.transport.Close()
+				w.transport.FailUnsent()
+				if w.startupProbeCall != nil {
+					w.transport.CancelControlCall(w.startupProbeCall)
 				}
 			} else {
-				w = &Worker{Worker: r, meter: g.Metrics.worker(r.Name)}
+				w = &Worker{Worker: r, metrics: g.Metrics.forWorker(r.Name)}
 				g.workers[r.ID] = w
 			}
-			w.addr, w.epoch, w.link = r.Addr, r.Epoch, g.front.NewWorkerTransport(w)
+			w.transportAddr, w.transportEpoch, w.transport = r.Addr, r.Epoch, g.clients.NewWorkerTransport(w)
 		}
 		g.log.Info().Str("worker", r.Name).Str("address", r.Addr.String()).Str("state", r.StateName()).
 			Uint32("version", r.Version).Stringer("from", r.Source).Msg("worker listed")
 		g.RecordEvent("worker_listed", r.StateName(), nil, w, w.StartedAt)
 		if r.State != control.Ready {
-			w.link.FailUnsent() // what waits for a connection there must not be sent now
+			w.transport.FailUnsent() // what waits for a connection there must not be sent now
 			if r.State == control.Gone {
-				w.link.CloseIdle()
+				w.transport.CloseIdle()
 			}
 		}
-		if w.told || r.StartProvided {
-			w.told = true
+		if w.announced || r.StartProvided {
+			w.announced = true
 			tell = append(tell, w)
 		}
 		if r.StartProvided {
 			continue
 		}
-		if r.State == control.Ready && (!w.told || r.AwaitingStartupProbe()) {
-			g.greet(w)
+		if r.State == control.Ready && (!w.announced || r.AwaitingStartupProbe()) {
+			g.startStartupProbe(w)
 		}
 	}
-	g.tellWorkers(tell)
+	g.notifyWorkers(tell)
 }
 
-// greet asks a worker for its start.
-func (g *Gateway) greet(w *Worker) {
-	if w.hello == nil && w.State == control.Ready {
+// startStartupProbe asks a worker for its start.
+func (g *Gateway) startStartupProbe(w *Worker) {
+	if w.startupProbeCall == nil && w.State == control.Ready {
 		w.BeginProbe()
-		w.hello = g.getOrder(CallStartupProbe, w, nil)
-		w.hello.send(helloSpan)
+		w.startupProbeCall = g.allocateControlCall(CallStartupProbe, w, nil)
+		w.startupProbeCall.send(probeTimeout)
 	}
 }
 
-// greeted tells the decisions of a worker once its start is known, or could not be learned; what did not answer is
+// finishStartupProbe tells the decisions of a worker once its start is known, or could not be learned; what did not answer is
 // asked again.
-func (g *Gateway) greeted(w *Worker, ok bool) {
-	if again := w.ProbeFinished(ok, g.rnd.Float64()); again > 0 && w.State == control.Ready {
-		if w.again.Fire == nil {
-			w.again.Fire = func() { g.greet(w) }
+func (g *Gateway) finishStartupProbe(w *Worker, ok bool) {
+	if again := w.ProbeFinished(ok, g.random.Float64()); again > 0 && w.State == control.Ready {
+		if w.probeRetryTimer.Fire == nil {
+			w.probeRetryTimer.Fire = func() { g.startStartupProbe(w) }
 		}
-		g.Loop.Start(&w.again, again)
+		g.Loop.Start(&w.probeRetryTimer, again)
 	}
-	if held := g.Members.FinishStartupProbe(w.Worker); !w.told || held {
-		w.told = true
-		g.tellWorkers([]*Worker{w})
+	if held := g.Members.FinishStartupProbe(w.Worker); !w.announced || held {
+		w.announced = true
+		g.notifyWorkers([]*Worker{w})
 	}
 }
 
-func (g *Gateway) tellWorkers(list []*Worker) {
+func (g *Gateway) notifyWorkers(list []*Worker) {
 	if len(list) == 0 || !g.subscribed {
 		return
 	}
@@ -132,21 +132,21 @@
 	for _, w := range list {
 		lines = append(lines, w.Advertised())
 	}
-	g.begin()
+	g.beginBatch()
 	if g.module != nil {
-		g.guard(func() { g.module.UpdateWorkers(control.ListDelta, g.Members.Version, lines) })
+		g.callModule(func() { g.module.UpdateWorkers(control.ListDelta, g.Members.Version, lines) })
 	}
 }
 
-func (g *Gateway) tellList(kind control.WorkerListKind) {
+func (g *Gateway) sendWorkerList(kind control.WorkerListKind) {
 	var lines []control.WorkerInfo
 	for _, r := range g.Members.All() {
-		if w := g.workers[r.ID]; w != nil && w.told {
+		if w := g.workers[r.ID]; w != nil && w.announced {
 			lines = append(lines, w.Advertised())
 		}
 	}
-	g.begin()
+	g.beginBatch()
 	if g.module != nil {
-		g.guard(func() { g.module.UpdateWorkers(kind, g.Members.Version, lines) })
+		g.callModule(func() { g.module.UpdateWorkers(kind, g.Members.Version, lines) })
 	}
 }
