--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -1,225 +1,158 @@
 package gateway
 
 import (
-	"math"
-
 	"mastchute/control"
-	"mastchute/internal/eventloop"
-	"mastchute/internal/rules"
 )
 
-// finishedAttempt is an outcome to be told to the decisions; f nil: only lets the request's place go.
+const maxRecycledBody = 64 << 10 // bytes; larger response buffers are not kept with a recycled attempt
+
+// finishedAttempt is the end of an attempt of which the control module is to be notified. Without an attempt it only
+// releases the request.
 type finishedAttempt struct {
 	request *Request
 	attempt *Attempt
 	result  control.AttemptResult
 }
 
+// addAttempt adds an attempt to a request, which must have room for it.
+func (g *Gateway) addAttempt(r *Request, w *Worker) *Attempt {
+	a := g.allocateAttempt()
+	a.Request = r
+	a.Worker = w
+	a.Index = r.attemptCount
+	a.createdAt = g.Loop.Now()
+	w.callsInFlight++
+	r.attempts[r.attemptCount] = a
+	r.attemptCount++
+	r.unreportedAttempts++
+	return a
+}
+
 func (g *Gateway) allocateAttempt() *Attempt {
 	if n := len(g.freeAttempts); n > 0 {
-		f := g.freeAttempts[n-1]
+		a := g.freeAttempts[n-1]
 		g.freeAttempts = g.freeAttempts[:n-1]
-		return f
+		return a
 	}
-	f := &Attempt{gateway: g}
-	f.timeoutTimer.Fire = func() { g.finishAttempt(f, control.TimedOut) }
-	f.dedupTimer.Fire = func() {
-		if f.Worker.transport.SentAt(f) == 0 {
-			g.finishAttempt(f, control.NotSent)
+	a := &Attempt{gateway: g}
+	a.timeoutTimer.Fire = func() { g.finishAttempt(a, control.TimedOut) }
+	a.dedupTimer.Fire = func() {
+		if a.Worker.transport.SentAt(a) == 0 {
+			g.finishAttempt(a, control.NotSent)
 		}
 	}
-	return f
+	return a
 }
 
-func (g *Gateway) recycleAttempt(f *Attempt) {
-	f.Request, f.Worker = nil, nil
-	f.ResponseBody = f.ResponseBody[:0]
-	if cap(f.ResponseBody) > 64<<10 {
-		f.ResponseBody = nil
-	}
-	f.Response, f.finished, f.blocked = WorkerResponse{}, false, false
-	g.freeAttempts = append(g.freeAttempts, f)
+func (g *Gateway) recycleAttempt(a *Attempt) {
+	a.Request = nil
+	a.Worker = nil
+	a.ResponseBody = a.ResponseBody[:0]
+	if cap(a.ResponseBody) > maxRecycledBody {
+		a.ResponseBody = nil
+	}
+	a.Response = WorkerResponse{}
+	a.finished = false
+	a.blocked = false
+	g.freeAttempts = append(g.freeAttempts, a)
 }
 
-// The actions, as control.Actions names them.
-
-// SendAttempt sends a request to a worker.
-func (g *Gateway) SendAttempt(id control.RequestID, wid control.WorkerID, timeout control.Seconds) {
-	q, w := g.findRequest(id), g.workers[wid]
-	if q == nil || w == nil || q.attemptCount >= maxAttempts {
-		g.Metrics.countGuard("unknown")
-		return
-	}
-	f := g.allocateAttempt()
-	f.Request, f.Index, f.Worker, f.createdAt = q, q.attemptCount, w, g.Loop.Now()
-	w.callsInFlight++
-	q.attempts[q.attemptCount] = f
-	q.attemptCount++
-	q.unreportedAttempts++
-	w.metrics.attempts.Inc()
-	g.RecordEvent("attempt", "", q, w, timeout)
-	terms := q.attemptFacts(w, f.Index)
-	if why := rules.CheckAttempt(f.createdAt, terms, w.isReady()); why != rules.Allowed { // whatever was decided
-		g.Metrics.countGuard("forward_barred")
-		g.recordViolation(why, "attempt", q, w)
-		f.blocked = true
-		g.finishAttempt(f, control.NotSent)
-		return
-	}
-	if timeout > 0 {
-		g.Loop.Start(&f.timeoutTimer, timeout)
-	}
-	if f.SendDeadline = dedupDeadline(terms); !math.IsInf(f.SendDeadline, 1) {
-		g.Loop.Start(&f.dedupTimer, f.SendDeadline-f.createdAt)
-	}
-	w.MarkSent()
-	w.transport.SendAttempt(f)
-}
-
-// Shed answers that trying again is harmless.
-func (g *Gateway) Shed(id control.RequestID, retryAfter control.Seconds) {
-	if q := g.findRequest(id); q != nil && q.Responder != nil {
-		if why := rules.CheckShed(q.shedFacts()); why != rules.Allowed {
-			g.recordViolation(why, "shed", q, nil)
-			g.failRequest(q, false, "it may have run")
-			return
-		}
-		if c := g.takeResponder(q, outcomeShed); c != nil {
-			c.WriteShed(q, retryAfter)
+// startStreaming records that the response of an attempt is passed on to the client as it arrives. The client has its
+// response from here on: the other attempts are cancelled and no timeout applies.
+func (g *Gateway) startStreaming(a *Attempt) {
+	r := a.Request
+	r.streamingAttempt = a
+	g.Loop.Cancel(&r.deadlineTimer)
+	g.Loop.Cancel(&a.timeoutTimer)
+	for _, other := range r.attempts[:r.attemptCount] {
+		if other != a {
+			g.finishAttempt(other, control.Cancelled)
 		}
 	}
+	g.deliver(func(module control.Module) {
+		module.ResponseStarted(r.id, a.Index, a.Worker.ID, g.Loop.Now()-a.createdAt)
+	})
 }
 
-// Fail answers that it did not work out, and promises nothing.
-func (g *Gateway) Fail(id control.RequestID) {
-	q := g.findRequest(id)
-	if q == nil || q.Responder == nil {
+// finishAttempt ends an attempt, once, gives the client its response if this was it, and schedules the report to the
+// control module for this turn of the loop. Of an attempt that is nil or has ended, nothing happens.
+func (g *Gateway) finishAttempt(a *Attempt, result control.Result) {
+	if a == nil || a.finished {
 		return
 	}
-	if g.Loop.Now() > q.deadline-0.1 {
-		g.failRequest(q, true, "no answer came in time; it may have run")
-		return
-	}
-	g.failRequest(q, false, "the workers failed; it may have run")
-}
-
-// CancelAttempt gives an attempt up.
-func (g *Gateway) CancelAttempt(id control.RequestID, n int) {
-	if q := g.findRequest(id); q != nil && n < q.attemptCount {
-		g.finishAttempt(q.attempts[n], control.Cancelled)
-	}
-}
-
-// CloseIdleConnections closes the idle connections to a worker.
-func (g *Gateway) CloseIdleConnections(id control.WorkerID) {
-	if w := g.workers[id]; w != nil {
-		w.transport.CloseIdle()
-	}
-}
-
-// SendPeerMessage has nobody to tell: dispatchers share nothing.
-func (g *Gateway) SendPeerMessage(control.PeerID, []byte) { g.Metrics.countGuard("note_dropped") }
-
-// SubscribeWorkerList starts or ends the pushing of changes, where discovery is to be asked.
-func (g *Gateway) SubscribeWorkerList(on bool) {
-	was := g.subscribed
-	if g.subscribed = on; on && !was {
-		g.Loop.Defer(func() { g.sendWorkerList(control.ListSnapshot) })
+	a.finished = true
+	if result == control.TimedOut || result == control.Cancelled || result == control.NotSent {
+		result = a.withdraw(result)
+	}
+	g.Loop.Cancel(&a.timeoutTimer)
+	g.Loop.Cancel(&a.dedupTimer)
+	r := a.Request
+	duration := g.Loop.Now() - a.createdAt
+	a.result = result
+	a.Worker.callsInFlight--
+	a.Worker.metrics.attemptFinished(result)
+	g.RecordEvent("attempt_finished", resultNames[result], r, a.Worker, duration)
+	report := control.AttemptResult{
+		ID:                r.id,
+		Attempt:           a.Index,
+		Worker:            a.Worker.ID,
+		Duration:          duration,
+		Result:            result,
+		ModelState:        a.Response.ModelState,
+		SameModelInFlight: a.Response.SameModelInFlight,
+		LoadReport:        a.Response.LoadReport[:a.Response.LoadReportLen],
+	}
+	if !r.finished {
+		g.respondWith(a, result)
+	}
+	report.RequestAnswered = r.finished
+	if len(g.finished) == 0 {
+		g.Loop.Defer(g.reportFinishedFn)
 	}
+	g.finished = append(g.finished, finishedAttempt{request: r, attempt: a, result: report})
 }
 
-// FetchWorkerList asks for the whole list once.
-func (g *Gateway) FetchWorkerList() { g.Loop.Defer(func() { g.sendWorkerList(control.ListSnapshot) }) }
-
-// SetTimer sets a timer.
-func (g *Gateway) SetTimer(after control.Seconds, id control.TimerID) {
-	t := g.moduleTimers[id]
-	if t == nil {
-		t = &eventloop.Timer{}
-		t.Fire = func() {
-			g.beginBatch()
-			if g.module != nil {
-				g.deliverTimer(id)
-			}
-		}
-		g.moduleTimers[id] = t
+// withdraw takes an attempt back from the transport, and returns its result: NotSent if it never was written to an
+// established connection, unless it timed out.
+func (a *Attempt) withdraw(result control.Result) control.Result {
+	if a.blocked {
+		return control.NotSent
 	}
-	g.Loop.Start(t, after)
-}
-
-// Log passes on what the decisions say.
-func (g *Gateway) Log(text string) { g.log.Info().Str("from", "decisions").Msg(text) }
-
-// Stream tells that the answer of an attempt goes to the client as it comes from now on. The other attempts are given up:
-// the client has its answer.
-func (g *Gateway) startStreaming(f *Attempt) {
-	q := f.Request
-	q.streamingAttempt = f
-	g.Loop.Cancel(&q.deadlineTimer)
-	g.Loop.Cancel(&f.timeoutTimer)
-	for _, o := range q.attempts[:q.attemptCount] {
-		if o != f {
-			g.finishAttempt(o, control.Cancelled)
-		}
-	}
-	g.beginBatch()
-	if g.module != nil {
-		g.callModule(func() { g.module.ResponseStarted(q.id, f.Index, f.Worker.ID, g.Loop.Now()-f.createdAt) })
+	transport := a.Worker.transport
+	if transport.SentAt(a) == 0 && result != control.TimedOut {
+		result = control.NotSent
 	}
+	transport.CancelAttempt(a)
+	return result
 }
 
-// finishAttempt ends an attempt, once, and has its outcome told in this turn.
-func (g *Gateway) finishAttempt(f *Attempt, r control.Result) {
-	if f == nil || f.finished {
-		return
-	}
-	if f.finished = true; r == control.TimedOut || r == control.Cancelled || r == control.NotSent {
-		if f.blocked || f.Worker.transport.SentAt(f) == 0 && r != control.TimedOut { // never handed to a connection that is up
-			r = control.NotSent
-		}
-		if !f.blocked { // the link has never had it
-			f.Worker.transport.CancelAttempt(f)
-		}
+// respondWith gives the client the final response if the end of an attempt is one: a success, or the end of a stream
+// before its time, which must not look complete.
+func (g *Gateway) respondWith(a *Attempt, result control.Result) {
+	r := a.Request
+	responder := r.Responder
+	switch {
+	case result == control.Succeeded:
+		r.Responder = nil
+		responder.WriteResponse(r, a)
+		g.finishRequest(r, outcomeReturned)
+	case r.streamingAttempt == a:
+		r.Responder = nil
+		responder.WriteFailure(r, false, "the answer was cut short")
+		g.finishRequest(r, outcomeFailed)
 	}
-	g.Loop.Cancel(&f.timeoutTimer)
-	g.Loop.Cancel(&f.dedupTimer)
-	q, now := f.Request, g.Loop.Now()
-	f.result = r
-	f.Worker.callsInFlight--
-	f.Worker.metrics.attemptFinished(r)
-	g.RecordEvent("attempt_ended", resultNames[r], q, f.Worker, now-f.createdAt)
-	o := control.AttemptResult{ID: q.id, Attempt: f.Index, Worker: f.Worker.ID, Duration: now - f.createdAt, Result: r, ModelState: f.Response.ModelState,
-		SameModelInFlight: f.Response.SameModelInFlight, LoadReport: f.Response.LoadReport[:f.Response.LoadReportLen]}
-	if r == control.Succeeded && !q.finished {
-		c := q.Responder
-		q.Responder = nil
-		c.WriteResponse(q, f)
-		g.finishRequest(q, outcomeReturned)
-	} else if q.streamingAttempt == f && !q.finished { // cut short after it began: the client must see that
-		c := q.Responder
-		q.Responder = nil
-		c.WriteFailure(q, false, "the answer was cut short")
-		g.finishRequest(q, outcomeFailed)
-	}
-	o.RequestAnswered = q.finished
-	if len(g.finished) == 0 {
-		g.Loop.Defer(g.reportFinishedFn)
-	}
-	g.finished = append(g.finished, finishedAttempt{request: q, attempt: f, result: o})
 }
 
-// reportFinished tells the decisions of the attempts that ended, in order.
+// reportFinished notifies the control module of the attempts that have finished, in order, and then releases their
+// requests. What finishes meanwhile is reported in the next round of the same turn.
 func (g *Gateway) reportFinished() {
 	g.finished, g.reporting = g.reporting[:0], g.finished
 	for i := range g.reporting {
-		e := &g.reporting[i]
-		if e.attempt != nil {
-			e.request.unreportedAttempts--
-			e.result.RequestAnswered = e.request.finished
-			g.beginBatch()
-			if g.module != nil {
-				g.deliverAttemptResult(&e.result)
-			}
+		f := &g.reporting[i]
+		if f.attempt != nil {
+			f.request.unreportedAttempts--
+			f.result.RequestAnswered = f.request.finished
+			g.deliverAttemptResult(&f.result)
 		}
 	}
 	for i := range g.reporting {
@@ -227,5 +160,3 @@
 		g.reporting[i] = finishedAttempt{}
 	}
 }
-
-// The list of workers.
--- a/internal/gateway/control_call.go
+++ b/internal/gateway/control_call.go
@@ -2,98 +2,72 @@
 
 import (
 	"mastchute/control"
-	"mastchute/internal/rules"
 )
 
-func (g *Gateway) allocateControlCall(kind ControlCallKind, w *Worker, m *Model) *ControlCall {
-	var o *ControlCall
-	if n := len(g.freeControlCalls); n > 0 {
-		o = g.freeControlCalls[n-1]
-		g.freeControlCalls = g.freeControlCalls[:n-1]
-	} else {
-		o = &ControlCall{gateway: g}
-		p := o
-		o.timeoutTimer.Fire = func() { p.finish(control.TimedOut) }
-	}
-	o.Kind, o.Worker, o.Model, o.Replicas, o.createdAt, o.finished, o.Response = kind, w, m, 1, g.Loop.Now(), false, WorkerResponse{}
-	w.callsInFlight++
-	if m != nil {
-		m.inFlight++
-	}
-	return o
-}
+const probeTimeout = 1.0 // s, of a probe; a newly listed worker that does not respond by then is announced without its start
 
-func (o *ControlCall) send(timeout float64) {
-	o.gateway.Loop.Start(&o.timeoutTimer, timeout)
-	o.Worker.transport.SendControlCall(o)
-}
-
-// LoadModel asks a worker to hold copies of a model.
-func (g *Gateway) LoadModel(id control.WorkerID, m control.ModelID, copies int) {
-	w, model := g.workers[id], g.models.byID[m]
-	if w == nil || model == nil {
-		g.Metrics.countGuard("unknown")
-		return
+func (g *Gateway) allocateControlCall(kind ControlCallKind, w *Worker, model *Model) *ControlCall {
+	if len(g.freeControlCalls) == 0 {
+		g.freeControlCalls = append(g.freeControlCalls, g.newControlCall())
 	}
-	o := g.allocateControlCall(CallLoadModel, w, model)
-	o.Replicas = copies
-	g.Metrics.loadOrders.Inc()
-	g.RecordEvent("load_order", "", nil, w, float64(copies))
-	if why := rules.CheckLoad(w.isReady()); why != rules.Allowed {
-		g.Metrics.countGuard("order_barred")
-		g.recordViolation(why, "load order", nil, w)
-		g.Loop.Defer(func() { o.finish(control.NotSent) })
-		return
+	last := len(g.freeControlCalls) - 1
+	c := g.freeControlCalls[last]
+	g.freeControlCalls = g.freeControlCalls[:last]
+	c.Kind = kind
+	c.Worker = w
+	c.Model = model
+	c.Replicas = 1
+	c.Response = WorkerResponse{}
+	c.createdAt = g.Loop.Now()
+	c.finished = false
+	w.callsInFlight++
+	if model != nil {
+		model.inFlight++
 	}
-	o.send(g.cfg.Loads.Timeout.Seconds)
+	return c
 }
 
-// UnloadModel asks a worker to unload the idle copies of a model.
-func (g *Gateway) UnloadModel(id control.WorkerID, m control.ModelID) {
-	if w, model := g.workers[id], g.models.byID[m]; w != nil && model != nil {
-		g.allocateControlCall(CallUnloadModel, w, model).send(g.cfg.Loads.Timeout.Seconds)
-	}
+func (g *Gateway) newControlCall() *ControlCall {
+	c := &ControlCall{gateway: g}
+	c.timeoutTimer.Fire = func() { g.finishControlCall(c, control.TimedOut) }
+	return c
 }
 
-// ProbeWorker asks a worker for its load report.
-func (g *Gateway) ProbeWorker(id control.WorkerID) {
-	if w := g.workers[id]; w != nil {
-		g.Metrics.probes.Inc()
-		g.allocateControlCall(CallProbe, w, nil).send(probeTimeout)
-	}
+func (g *Gateway) sendControlCall(c *ControlCall, timeout float64) {
+	g.Loop.Start(&c.timeoutTimer, timeout)
+	c.Worker.transport.SendControlCall(c)
 }
 
-func (o *ControlCall) finish(r control.Result) {
-	if o.finished {
+// finishControlCall ends a control call, once, and passes its result on.
+func (g *Gateway) finishControlCall(c *ControlCall, result control.Result) {
+	if c.finished {
 		return
 	}
-	o.finished = true
-	g := o.gateway
-	if r == control.TimedOut || r == control.NotSent {
-		o.Worker.transport.CancelControlCall(o)
+	c.finished = true
+	if result == control.TimedOut || result == control.NotSent {
+		c.Worker.transport.CancelControlCall(c)
 	}
-	g.Loop.Cancel(&o.timeoutTimer)
-	took := g.Loop.Now() - o.createdAt
-	o.Worker.callsInFlight--
-	if o.Model != nil {
-		o.Model.inFlight--
+	g.Loop.Cancel(&c.timeoutTimer)
+	c.Worker.callsInFlight--
+	if c.Model != nil {
+		c.Model.inFlight--
 	}
-	switch o.Kind {
+	g.deliverControlCallResult(c, result)
+	// Deferred, as the transport may still use the record in the call that reported the end.
+	g.Loop.Defer(func() { g.freeControlCalls = append(g.freeControlCalls, c) })
+}
+
+func (g *Gateway) deliverControlCallResult(c *ControlCall, result control.Result) {
+	duration := g.Loop.Now() - c.createdAt
+	switch c.Kind {
 	case CallLoadModel:
-		g.beginBatch()
-		if g.module != nil {
-			res := control.LoadResult{Worker: o.Worker.ID, Model: o.Model.ID, Result: r, Duration: took, Replicas: o.Response.Replicas}
-			g.callModule(func() { g.module.LoadFinished(res) })
-		}
+		load := control.LoadResult{Worker: c.Worker.ID, Model: c.Model.ID, Result: result, Duration: duration, Replicas: c.Response.Replicas}
+		g.deliver(func(module control.Module) { module.LoadFinished(load) })
 	case CallProbe:
-		g.beginBatch()
-		if g.module != nil {
-			res := control.ProbeResult{Worker: o.Worker.ID, Result: r, Duration: took, LoadReport: o.Response.LoadReport[:o.Response.LoadReportLen]}
-			g.callModule(func() { g.module.ProbeFinished(res) })
-		}
+		probe := control.ProbeResult{Worker: c.Worker.ID, Result: result, Duration: duration, LoadReport: c.Response.LoadReport[:c.Response.LoadReportLen]}
+		g.deliver(func(module control.Module) { module.ProbeFinished(probe) })
 	case CallStartupProbe:
-		o.Worker.startupProbeCall = nil
-		g.finishStartupProbe(o.Worker, r == control.Succeeded)
+		c.Worker.startupProbeCall = nil
+		g.finishStartupProbe(c.Worker, result == control.Succeeded)
 	}
-	g.Loop.Defer(func() { g.freeControlCalls = append(g.freeControlCalls, o) })
 }
--- /dev/null
+++ b/internal/gateway/final_response.go
@@ -0,0 +1,82 @@
+package gateway
+
+import "mastchute/control"
+
+// outcome is how a request ended for its client.
+type outcome uint8
+
+const (
+	outcomeReturned   outcome = iota // a worker's response was passed on
+	outcomeShed                      // rejected; a retry by the client is harmless
+	outcomeFailed                    // failed; it may have run
+	outcomeClientGone                // the client disconnected first
+	outcomeCount
+)
+
+// String returns the outcome as metrics, logs and the Mastchute-Answer header show it.
+func (o outcome) String() string { return [...]string{"returned", "shed", "failed", "left"}[o] }
+
+// deadlineExceeded fires at the client's deadline. The control module finishes requests before it; this is the guard for
+// one that it has not finished. Attempts still in flight have timed out.
+func (g *Gateway) deadlineExceeded(r *Request) {
+	if !r.inUse || r.streamingAttempt != nil {
+		return
+	}
+	if !r.finished {
+		g.Metrics.countGuard("late")
+		g.failRequest(r, true, "the time is up")
+		g.deliverCancellation(r)
+	}
+	for _, a := range r.attempts[:r.attemptCount] {
+		g.finishAttempt(a, control.TimedOut)
+	}
+}
+
+// shedRequest gives the final response that a retry is harmless.
+func (g *Gateway) shedRequest(r *Request, retryAfter float64) {
+	responder := g.takeResponder(r, outcomeShed)
+	if responder != nil {
+		responder.WriteShed(r, retryAfter)
+	}
+}
+
+// failRequest gives the final response that promises nothing.
+func (g *Gateway) failRequest(r *Request, late bool, why string) {
+	responder := g.takeResponder(r, outcomeFailed)
+	if responder == nil {
+		return
+	}
+	responder.WriteFailure(r, late, why)
+	if r.streamingAttempt != nil { // WriteFailure has cut the stream off
+		g.finishAttempt(r.streamingAttempt, control.Cancelled)
+	}
+}
+
+// takeResponder finishes a request and returns the writer for its final response, nil if it is finished already.
+func (g *Gateway) takeResponder(r *Request, o outcome) ResponseWriter {
+	if r.finished {
+		g.Metrics.countGuard("second_answer")
+		return nil
+	}
+	responder := r.Responder
+	r.Responder = nil
+	g.finishRequest(r, o)
+	return responder
+}
+
+// finishRequest records the outcome of a request and cancels the attempts that have not been fully sent, since nothing may
+// be sent after the final response. The slot is released at the end of the turn.
+func (g *Gateway) finishRequest(r *Request, o outcome) {
+	r.finished = true
+	now := g.Loop.Now()
+	r.group.metrics.requestFinished(o, now-r.arrivedAt)
+	g.logFinished(r, o, now)
+	g.RecordEvent("request_finished", o.String(), r, nil, now-r.arrivedAt)
+	for _, a := range r.attempts[:r.attemptCount] {
+		if !a.finished && !a.Worker.transport.FullySent(a) {
+			g.finishAttempt(a, control.Cancelled)
+		}
+	}
+	g.Loop.Defer(g.reportFinishedFn)
+	g.finished = append(g.finished, finishedAttempt{request: r})
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,18 +1,16 @@
-// Package gateway is the host around the decisions: it takes requests from clients, lets control.Module decide, carries
-// out its actions towards workers, and gives each request its one final answer. It knows clients and workers by the
-// interfaces of interfaces.go; HTTP/1.1 is one implementation of them.
+// Package gateway is the I/O shell around the control module: it accepts requests from clients, passes events to
+// control.Module, carries out the module's actions towards workers, and gives each request exactly one final response. It
+// knows clients and workers by the interfaces of interfaces.go; HTTP/1.1 is one implementation of them.
 //
-// It decides nothing about routing. What it adds are guards that hold whatever the decisions say: one final answer,
-// nothing sent after it, nothing sent to a worker that drains, an answer by the client's time. Each guard counts when
-// it acts. docs/host.md describes the order of events.
+// It makes no routing decisions. What it adds are guards that hold whatever the module decides: one final response per
+// request, nothing sent after it, nothing new sent to a draining worker, a response by the client's deadline. Each guard
+// counts when it acts. docs/host.md describes the order of events.
+//
+// All state belongs to one event loop. Every method runs on it unless its comment says otherwise.
 package gateway
 
 import (
-	"fmt"
-	"math"
 	"math/rand/v2"
-	"net/netip"
-	"runtime/debug"
 	"strconv"
 	"time"
 
@@ -26,342 +24,165 @@
 )
 
 const (
-	maxAttempts          = 8     // as many as the decisions' record holds
-	maxListedRequests    = 1000  // requests told in a status
-	probeTimeout         = 1.0   // s a newly listed worker may take to tell its start, before it is listed without
-	shutdownPollInterval = 0.01  // s between looks while stopping
-	lingerTimeout        = 1.5   // s for the last answers to be read after the last request has ended
-	evictionInterval     = 5.0   // s between looks for what may be forgotten
-	evictAfter           = 300.0 // s after which a gone worker is forgotten, as the decisions do
-	requestSlotBits      = 20    // of a request's id: its place; the rest counts uses of the place
+	maxAttempts     = 8  // attempts of one request, as many as the control module tracks
+	requestSlotBits = 20 // low bits of a request id that hold its slot; the others hold the slot's generation
 )
 
-// NewModule makes the decisions of a dispatcher.
-type NewModule func(seed uint64, s control.Settings, a control.Actions) control.Module
-
-// Gateway is one dispatcher. Its methods run on its loop, but for those that say otherwise.
+// Gateway is one dispatcher.
 type Gateway struct {
 	Loop    *eventloop.Loop
 	Metrics *Metrics
 	Members *membership.List
-	Events  flightrecorder.Ring // the latest state changes
+	Events  flightrecorder.Ring
 
+	// Settled at construction.
 	cfg             *config.Config
 	log             zerolog.Logger
 	clients         ClientTransport
-	module          control.Module
 	settings        control.Settings
-	startEpoch      float64 // seconds since 1970 at the loop's second 0
-	requestIDPrefix string  // of this start: what request ids begin with
-	lastSeq         uint64
-	batchOpen       bool // the module has heard events since its last Settle
+	discovery       control.DiscoveryMode
+	requestIDPrefix string // unique to this start of the process
+	tenants         map[string]int
+	groups          []*group
+	random          *rand.Rand // jitter, so that dispatchers do not act in step
+
+	// The control module, nil before it is made and after it panicked.
+	module         control.Module
+	batchOpen      bool // the module has received events since its last Reconcile
+	moduleTimers   map[control.TimerID]*eventloop.Timer
+	listSubscribed bool // the module is to be notified of changes to the endpoint list
 
 	models    modelCache
 	maxModels int
-	tenants   map[string]int
-	groups    []*group
 	workers   map[control.WorkerID]*Worker
 
-	requests         []*Request
-	freeSlots        []int32
-	inFlight         int
-	freeAttempts     []*Attempt        // free ones
-	freeControlCalls []*ControlCall    // free ones
-	finished         []finishedAttempt // outcomes to be told in this turn
+	// The request table: requests holds every slot, freeSlots the indexes of those not in use.
+	requests  []*Request
+	freeSlots []int32
+	inFlight  int
+	lastSeq   uint64
+
+	// Finished attempts of which the module is yet to be notified. The two slices swap on each report.
+	finished         []finishedAttempt
 	reporting        []finishedAttempt
 	reportFinishedFn func()
 
-	subscribed    bool
+	freeAttempts     []*Attempt
+	freeControlCalls []*ControlCall
+
 	stopping      bool
 	stopDeadline  float64
 	stopTimer     eventloop.Timer
 	evictionTimer eventloop.Timer
-	moduleTimers  map[control.TimerID]*eventloop.Timer
-	exitStatus    *ExitStatus
-	random        *rand.Rand // spreads what dispatchers would else do in step
-}
-
-// ExitStatus tells how a gateway ended.
-type ExitStatus struct {
-	PanicMessage   string // the decisions failed: what they said
-	FailedRequests int    // requests that were failed because the stop's grace ran out
+	exitStatus    ExitStatus
 }
 
+// group is a model group of the configuration with its settings resolved.
 type group struct {
 	config.Group
-	effect  control.Effect
-	index   control.GroupID
-	metrics groupMetrics
+	effect     control.Effect
+	dedupScope control.DedupScope
+	index      control.GroupID
+	metrics    groupMetrics
 }
 
-// Options say what a host serves. Settings are what the decisions are told; Config holds what the host itself needs.
+// Options configure a Gateway.
 type Options struct {
-	Config             *config.Config
-	Settings           control.Settings
-	Seed               uint64
+	Config             *config.Config                            // what the gateway itself needs
+	Settings           control.Settings                          // passed to the control module
+	Seed               uint64                                    // of all randomness; 0 for one from the clock
 	NewClientTransport func(g *Gateway) (ClientTransport, error) // called once, before the loop runs
 	Source             membership.Source                         // of Workers
-	Workers            []membership.Entry                        // as listed at the start
-	MaxModels          int                                       // kept at most; 0 means the usual
+	Workers            []membership.Entry                        // the endpoint list at the start
+	MaxModels          int                                       // most cached models; 0 means the default
 }
 
-// timer is short for the loop's.
-type timer = eventloop.Timer
-
-// New makes a host with a front of its own. Run the loop to serve.
-func New(l *eventloop.Loop, o Options, log zerolog.Logger, start NewModule) (*Gateway, error) {
-	cfg := o.Config
-	g := &Gateway{Loop: l, cfg: cfg, log: log, settings: o.Settings, tenants: map[string]int{}, workers: map[control.WorkerID]*Worker{},
-		Members: membership.New(config.WorkerID), moduleTimers: map[control.TimerID]*eventloop.Timer{}, exitStatus: &ExitStatus{}, maxModels: o.MaxModels}
-	if g.maxModels == 0 {
-		g.maxModels = defaultMaxModels
-	}
-	g.models.init()
-	g.startEpoch, _ = l.WallClock()
-	g.requestIDPrefix = cfg.Name + "-" + strconv.FormatUint(rand.Uint64(), 36) + "-" // by chance: a wall clock can tell a time twice
-	g.reportFinishedFn = g.reportFinished
-	g.stopTimer.Fire = g.continueShutdown
-	g.evictionTimer.Fire = g.evictPeriodically
-	g.Metrics = newMetrics(g)
-	for i, c := range cfg.Groups {
-		g.groups = append(g.groups, &group{Group: c, effect: control.ParseEffect(c.Effect), index: control.GroupID(i), metrics: g.Metrics.forGroup(c.Name)})
-	}
-	for i, t := range cfg.Tenants {
-		g.tenants[t.Name] = i
-	}
-	seed := o.Seed
+// New returns a Gateway on a loop that does not run yet. It serves once the loop runs; the control module is made in the
+// loop's first turn.
+func New(loop *eventloop.Loop, options Options, log zerolog.Logger, newModule NewModule) (*Gateway, error) {
+	g := newGateway(loop, options, log)
+	seed := options.Seed
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
 	g.random = rand.New(rand.NewPCG(seed, 5))
-	var err error
-	if g.clients, err = o.NewClientTransport(g); err != nil {
+	clients, err := options.NewClientTransport(g)
+	if err != nil {
 		return nil, err
 	}
-	l.AfterEvents = g.endBatch
-	l.Defer(func() {
-		g.beginBatch()
-		g.callModule(func() { g.module = start(seed, g.settings, g) })
-		if g.module == nil {
-			return
-		}
-		g.callModule(func() { g.module.SetNow(l.Now()) })
-		if err := g.ReplaceWorkers(o.Source, o.Workers); err != nil {
-			g.log.Error().Err(err).Msg("workers of the settings not taken")
-		}
-		if g.cfg.Roster.Discovery == "push" {
-			g.subscribed = true
-			g.sendWorkerList(control.ListSnapshot)
-		} else {
-			g.sendWorkerList(control.ListCached)
-		}
-		l.Start(&g.evictionTimer, evictionInterval)
-	})
+	g.clients = clients
+	loop.AfterEvents = g.endBatch
+	loop.Defer(func() { g.start(options, seed, newModule) })
 	return g, nil
 }
 
-// MembershipEntries turns configured workers into entries of the list of workers.
-func MembershipEntries(list []config.Worker) ([]membership.Entry, error) {
-	var out []membership.Entry
-	for _, w := range list {
-		addr, err := netip.ParseAddrPort(w.Address)
-		if err != nil {
-			return nil, err
-		}
-		e := membership.Entry{Name: w.Name, Addr: addr, Zone: w.Zone, Cell: w.Cell, Kind: w.Kind, Weight: w.Weight, State: control.Ready}
-		if e.Weight == 0 {
-			e.Weight = 1
-		}
-		switch w.State {
-		case "draining":
-			e.State = control.Draining
-		case "gone":
-			e.State = control.Gone
-		}
-		out = append(out, e)
-	}
-	return out, nil
-}
+// newGateway returns a Gateway without its transport, randomness and control module.
+func newGateway(loop *eventloop.Loop, options Options, log zerolog.Logger) *Gateway {
+	cfg := options.Config
+	g := &Gateway{
+		Loop:    loop,
+		Members: membership.New(config.WorkerID),
 
-// ExitStatus tells how it ended, once the loop has.
-func (g *Gateway) ExitStatus() ExitStatus { return *g.exitStatus }
+		cfg:       cfg,
+		log:       log,
+		settings:  options.Settings,
+		discovery: control.ParseDiscoveryMode(cfg.Roster.Discovery),
+		// Random rather than the time: a stepped wall clock can show the same time at two starts.
+		requestIDPrefix: cfg.Name + "-" + strconv.FormatUint(rand.Uint64(), 36) + "-",
+		tenants:         map[string]int{},
 
-// beginBatch opens a batch of events: the module's clock is set once a turn.
-func (g *Gateway) beginBatch() {
-	if !g.batchOpen {
-		g.batchOpen = true
-		g.setModuleTime()
+		moduleTimers: map[control.TimerID]*eventloop.Timer{},
+		maxModels:    options.MaxModels,
+		workers:      map[control.WorkerID]*Worker{},
 	}
-}
-
-// The calls of the ordinary path, each guarded without a closure.
-
-func (g *Gateway) setModuleTime() {
-	defer g.recoverPanic()
-	if g.module != nil {
-		g.module.SetNow(g.Loop.Now())
-	}
-}
-
-func (g *Gateway) reconcile() {
-	defer g.recoverPanic()
-	g.module.Reconcile()
-}
-
-func (g *Gateway) deliverRequest(in *control.Request) {
-	defer g.recoverPanic()
-	g.module.RequestArrived(*in)
-}
-
-func (g *Gateway) deliverAttemptResult(o *control.AttemptResult) {
-	defer g.recoverPanic()
-	g.module.AttemptFinished(*o)
-}
-
-func (g *Gateway) deliverTimer(id control.TimerID) {
-	defer g.recoverPanic()
-	g.module.TimerFired(id)
-}
-
-func (g *Gateway) recoverPanic() {
-	if v := recover(); v != nil {
-		g.handlePanic(fmt.Sprint(v), debug.Stack())
+	if g.maxModels == 0 {
+		g.maxModels = defaultMaxModels
 	}
-}
-
-// endBatch closes the batch.
-func (g *Gateway) endBatch() {
-	if !g.batchOpen {
-		return
+	g.models.init()
+	g.reportFinishedFn = g.reportFinished
+	g.stopTimer.Fire = g.continueShutdown
+	g.evictionTimer.Fire = g.evictPeriodically
+	g.Metrics = newMetrics(&loop.Stats)
+	for i, c := range cfg.Groups {
+		g.groups = append(g.groups, &group{
+			Group:      c,
+			effect:     control.ParseEffect(c.Effect),
+			dedupScope: control.ParseDedupScope(c.Scope),
+			index:      control.GroupID(i),
+			metrics:    g.Metrics.forGroup(c.Name),
+		})
 	}
-	g.batchOpen = false
-	if g.module != nil {
-		g.reconcile()
+	for i, t := range cfg.Tenants {
+		g.tenants[t.Name] = i
 	}
+	return g
 }
 
-// callModule runs decision code. A panic in it ends the dispatcher: all in flight is failed, nothing is guessed.
-func (g *Gateway) callModule(f func()) {
-	defer g.recoverPanic()
-	if g.exitStatus.PanicMessage == "" {
-		f()
+// start makes the control module and passes it the first endpoint list, in the loop's first turn.
+func (g *Gateway) start(options Options, seed uint64, newModule NewModule) {
+	g.beginBatch()
+	g.createModule(newModule, seed)
+	if g.module == nil {
+		return
 	}
-}
-
-func (g *Gateway) handlePanic(why string, stack []byte) {
-	g.exitStatus.PanicMessage = why
-	g.module = nil
-	g.DumpFlightRecorder("crash")
-	g.log.Error().Str("panic", why).Str("stack", string(stack)).Int("in_hand", g.inFlight).Msg("decision code failed; this dispatcher ends")
-	g.Loop.Defer(func() {
-		g.clients.Drain()
-		g.finishAll("the dispatcher failed")
-		g.stopping, g.stopDeadline = true, g.Loop.Now()
-		g.continueShutdown()
-	})
-}
-
-// finishAll gives everything in flight its final answer: at a stop shed where that is true, else failed, which promises
-// nothing.
-func (g *Gateway) finishAll(why string) int {
-	n := 0
-	for _, q := range g.requests {
-		if q.inUse && !q.finished {
-			n++
-			if g.exitStatus.PanicMessage != "" {
-				g.failRequest(q, false, why)
-			} else {
-				g.finishAtShutdown(q, why)
-			}
-			g.beginBatch()
-			if g.module != nil {
-				g.callModule(func() { g.module.RequestCancelled(q.id) })
-			}
-		}
+	g.setModuleTime()
+	if err := g.ReplaceWorkers(options.Source, options.Workers); err != nil {
+		g.log.Error().Err(err).Msg("configured workers rejected")
 	}
-	return n
-}
-
-// Stop ends the gateway: nothing new is accepted, all in flight is answered, within grace seconds, and then the loop
-// stops. A second call shortens the grace.
-func (g *Gateway) Stop(grace float64) {
-	by := g.Loop.Now() + grace
-	if g.stopping {
-		g.stopDeadline = math.Min(g.stopDeadline, by)
+	if g.discovery == control.DiscoveryPush {
+		g.listSubscribed = true
+		g.sendWorkerList(control.ListSnapshot)
 	} else {
-		g.log.Info().Int("in_hand", g.inFlight).Float64("grace_s", grace).Msg("stopping")
-		g.RecordEvent("stopping", "", nil, nil, grace)
-		g.stopping, g.stopDeadline = true, by
-		g.clients.Drain()
+		g.sendWorkerList(control.ListCached)
 	}
-	g.continueShutdown()
-}
-
-func (g *Gateway) continueShutdown() {
-	now := g.Loop.Now()
-	if g.inFlight > 0 && now >= g.stopDeadline {
-		if n := g.finishAll("the dispatcher is stopping"); n > 0 {
-			g.exitStatus.FailedRequests += n
-			g.log.Warn().Int("failed", n).Msg("stop grace ran out; what was in hand is failed")
-		}
-	}
-	if !g.hasUnfinishedRequests() {
-		for _, w := range g.workers {
-			w.transport.Close()
-			w.transport.FailUnsent()
-		}
-		g.stopDeadline = math.Min(g.stopDeadline, now)
-		if g.Loop.Stats.Connections.Load() == 0 && g.clients.ConnectionCount() == 0 || now > g.stopDeadline+lingerTimeout || g.clients.ConnectionCount() == 0 && g.lingered(now) {
-			g.log.Info().Msg("stopped")
-			g.Loop.Stop()
-			return
-		}
-	}
-	g.Loop.Start(&g.stopTimer, shutdownPollInterval)
-}
-
-// lingered gives the last answers some turns to leave the kernel.
-func (g *Gateway) lingered(now float64) bool { return now > g.stopDeadline+0.1 }
-
-// hasUnfinishedRequests tells whether anything still waits for its final answer.
-func (g *Gateway) hasUnfinishedRequests() bool {
-	for _, q := range g.requests {
-		if q.inUse && !q.finished {
-			return true
-		}
-	}
-	return false
+	g.Loop.Start(&g.evictionTimer, evictionInterval)
 }
 
-// RandomFloat is a number from 0 up to 1, for what dispatchers would else do in step.
+// RandomFloat returns a random number in [0, 1), for jitter.
 func (g *Gateway) RandomFloat() float64 { return g.random.Float64() }
 
-// SetLog changes the log in service.
+// SetLog replaces the log and its sampling of final responses.
 func (g *Gateway) SetLog(log zerolog.Logger, sample int) { g.log, g.cfg.Log.Sample = log, sample }
 
-// evictPeriodically drops what is long gone, now and then.
-func (g *Gateway) evictPeriodically() {
-	now := g.Loop.Now()
-	g.EvictIdle(now - evictAfter)
-	g.Loop.Start(&g.evictionTimer, evictionInterval)
-}
-
-// EvictIdle drops models nobody has asked for, and workers taken off the list, since a time.
-func (g *Gateway) EvictIdle(since float64) {
-	g.models.evict(since, math.MaxInt)
-	g.Members.EvictGone(since, func(r *membership.Worker) bool {
-		w := g.workers[r.ID]
-		if w == nil {
-			return true
-		}
-		if w.callsInFlight > 0 || w.startupProbeCall != nil || w.probeRetryTimer.Pending() || w.transport.ConnectionCount() > 0 {
-			return false
-		}
-		delete(g.workers, r.ID)
-		g.Metrics.forgetWorker(r.Name)
-		return true
-	})
-}
-
-// ModelCount is how many models are in use of late.
+// ModelCount returns the number of cached models.
 func (g *Gateway) ModelCount() int { return len(g.models.byID) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("%+v", s)
 	}
 	r.on(func() {
-		if v := r.gateway.Status(); v.Workers[0].Report <= 0 || v.InHand != 0 || v.Memory != 0 || len(v.Workers[0].Warm) != 1 {
+		if v := r.gateway.Status(); v.Workers[0].Report <= 0 || v.InFlight != 0 || v.BufferedBytes != 0 || len(v.Workers[0].Warm) != 1 {
 			t.Errorf("%+v", v)
 		}
 	})
--- a/internal/gateway/http_clients.go
+++ b/internal/gateway/http_clients.go
@@ -1,9 +1,9 @@
 package gateway
 
 import (
+	"errors"
 	"math"
 	"net/netip"
-	"path"
 	"strconv"
 
 	"github.com/rs/zerolog"
@@ -16,136 +16,135 @@
 	"mastchute/internal/membership"
 )
 
-// NewHTTP makes a gateway that listens for HTTP/1.1 as configured. Run the loop to serve; at must be the configured address.
-func NewHTTP(l *eventloop.Loop, cfg *config.Config, log zerolog.Logger, start NewModule) (*Gateway, error) {
-	list, err := MembershipEntries(cfg.Workers)
+// Clients over HTTP/1.1: ClientTransport and ResponseWriter on package httpconn.
+
+const (
+	maxRequestLine    = 8 << 10 // bytes
+	maxRequestHeaders = 100
+)
+
+// NewHTTP returns a gateway that listens for HTTP/1.1 at the configured address. It serves once the loop runs.
+func NewHTTP(loop *eventloop.Loop, cfg *config.Config, log zerolog.Logger, newModule NewModule) (*Gateway, error) {
+	workers, err := MembershipEntries(cfg.Workers)
 	if err != nil {
 		return nil, err
 	}
-	return New(l, Options{Config: cfg, Settings: cfg.Settings(), Seed: cfg.Seed, Source: membership.SourceConfig, Workers: list,
-		NewClientTransport: func(g *Gateway) (ClientTransport, error) { return newHTTPClientTransport(g) }}, log, start)
+	options := Options{
+		Config:   cfg,
+		Settings: cfg.Settings(),
+		Seed:     cfg.Seed,
+		Source:   membership.SourceConfig,
+		Workers:  workers,
+		NewClientTransport: func(g *Gateway) (ClientTransport, error) {
+			return newHTTPClientTransport(g)
+		},
+	}
+	return New(loop, options, log, newModule)
 }
 
-// Addr is the address that HTTP/1.1 listens on. Safe before the loop runs.
+// Addr returns the address that the HTTP/1.1 server listens on. It may be called from any goroutine.
 func (g *Gateway) Addr() netip.AddrPort { return g.clients.(*httpClientTransport).server.Addr() }
 
-// httpClientTransport takes clients in over HTTP/1.1.
+// httpClientTransport implements ClientTransport and httpconn.Service.
 type httpClientTransport struct {
 	gateway     *Gateway
 	server      *httpconn.Server
 	budget      httpconn.MemoryBudget
 	freeWriters []*httpResponseWriter
-	scratch     []byte
+	scratch     []byte // for problem documents
 }
 
 func newHTTPClientTransport(g *Gateway) (*httpClientTransport, error) {
-	p := &httpClientTransport{gateway: g}
-	lim := g.cfg.Limits
-	p.budget.Limit = lim.Memory.Bytes
-	at, err := netip.ParseAddrPort(g.cfg.Listen)
+	limits := g.cfg.Limits
+	addr, err := netip.ParseAddrPort(g.cfg.Listen)
 	if err != nil {
 		return nil, err
 	}
-	p.server, err = httpconn.NewServer(g.Loop, at, p, httpconn.ServerOptions{
-		Limits:      httpcodec.Limits{Line: min(8<<10, int(lim.Head.Bytes)), Head: int(lim.Head.Bytes), Headers: 100, Body: lim.Body.Bytes},
-		IdleTimeout: lim.IdleTimeout.Seconds, HeadTimeout: lim.HeadTimeout.Seconds, BodyTimeout: lim.BodyTimeout.Seconds,
-		Budget: &p.budget})
-	return p, err
+	t := &httpClientTransport{gateway: g, budget: httpconn.MemoryBudget{Limit: limits.Memory.Bytes}}
+	t.server, err = httpconn.NewServer(g.Loop, addr, t, httpconn.ServerOptions{
+		Limits: httpcodec.Limits{
+			Line:    min(maxRequestLine, int(limits.Head.Bytes)),
+			Head:    int(limits.Head.Bytes),
+			Headers: maxRequestHeaders,
+			Body:    limits.Body.Bytes,
+		},
+		IdleTimeout: limits.IdleTimeout.Seconds,
+		HeadTimeout: limits.HeadTimeout.Seconds,
+		BodyTimeout: limits.BodyTimeout.Seconds,
+		Budget:      &t.budget,
+	})
+	return t, err
 }
 
-// Drain, Conns, Held and Link implement Front.
-func (p *httpClientTransport) Drain()               { p.server.Drain() }
-func (p *httpClientTransport) ConnectionCount() int { return p.server.ConnectionCount() }
-func (p *httpClientTransport) BufferedBytes() int64 { return p.budget.Used }
-func (p *httpClientTransport) NewWorkerTransport(w *Worker) WorkerTransport {
-	return newHTTPWorkerTransport(p.gateway, w)
-}
+// Drain implements ClientTransport.
+func (t *httpClientTransport) Drain() { t.server.Drain() }
 
-// httpResponseWriter is the client's side of one request.
-type httpResponseWriter struct {
-	transport *httpClientTransport
-	exchange  *httpconn.Exchange
-	request   *Request
-}
+// ConnectionCount implements ClientTransport.
+func (t *httpClientTransport) ConnectionCount() int { return t.server.ConnectionCount() }
+
+// BufferedBytes implements ClientTransport.
+func (t *httpClientTransport) BufferedBytes() int64 { return t.budget.Used }
 
-func matches(pattern, name string) bool {
-	ok, err := path.Match(pattern, name)
-	return ok && err == nil
+// NewWorkerTransport implements ClientTransport.
+func (t *httpClientTransport) NewWorkerTransport(w *Worker) WorkerTransport {
+	return newHTTPWorkerTransport(t.gateway, w)
 }
 
-// HeadReceived implements httpconn.Service: refusals before the body is read, and the small paths.
-func (p *httpClientTransport) HeadReceived(x *httpconn.Exchange) bool {
-	g := p.gateway
-	h := &x.Head
-	name, verb, ok := parseModelPath(h.Target)
+// HeadReceived implements httpconn.Service. It answers health checks, and rejects requests before their body is read.
+func (t *httpClientTransport) HeadReceived(x *httpconn.Exchange) (answered bool) {
+	g := t.gateway
+	target := x.Head.Target
+	model, verb, isModelPath := parseModelPath(target)
 	switch {
-	case ok && string(verb) == "infer":
-		if !httpcodec.EqualsLower(h.Method, "post") {
-			return p.reject(x, "method", 405, "write POST")
+	case isModelPath && string(verb) == "infer":
+		return t.rejectInference(x, model)
+	case isModelPath && string(verb) == "ready" && isReadMethod(x.Head.Method):
+		if _, err := g.resolveModel(model); err != nil {
+			return t.reject(x, "unknown_model", 404, errUnknownModel.Error())
 		}
-	case ok && string(verb) == "ready" && (httpcodec.EqualsLower(h.Method, "get") || httpcodec.EqualsLower(h.Method, "head")):
-		m, err := g.resolveModel(name)
-		if m == nil || err != nil {
-			return p.reject(x, "unknown_model", 404, "no such model in the catalogue")
-		}
-		return p.writeHealth(x, g.hasReadyWorker())
-	case string(h.Target) == "/v2/health/live":
-		return p.writeHealth(x, g.exitStatus.PanicMessage == "")
-	case string(h.Target) == "/v2/health/ready":
-		return p.writeHealth(x, g.hasReadyWorker())
-	default:
-		return p.reject(x, "path", 404, "no such path; inferences go to POST /v2/models/NAME/infer")
+		return t.writeHealth(x, g.Ready())
+	case string(target) == "/v2/health/live":
+		return t.writeHealth(x, g.exitStatus.PanicMessage == "")
+	case string(target) == "/v2/health/ready":
+		return t.writeHealth(x, g.Ready())
+	}
+	return t.reject(x, "path", 404, "no such path; inferences go to POST /v2/models/NAME/infer")
+}
+
+// rejectInference rejects an inference request that its head shows not to be acceptable, and reports whether it did.
+func (t *httpClientTransport) rejectInference(x *httpconn.Exchange, modelName []byte) bool {
+	g := t.gateway
+	if !httpcodec.EqualsLower(x.Head.Method, "post") {
+		return t.reject(x, "method", 405, "write POST")
 	}
-	m, err := g.resolveModel(name)
+	_, err := g.resolveModel(modelName)
 	switch {
+	case errors.Is(err, errUnknownModel):
+		return t.reject(x, "unknown_model", 404, errUnknownModel.Error())
 	case err != nil:
-		return p.reject(x, "model_id", 409, "this model cannot be taken: "+err.Error())
-	case m == nil:
-		return p.reject(x, "unknown_model", 404, "no such model in the catalogue")
+		return t.reject(x, "model_id", 409, "this model cannot be taken: "+err.Error())
 	case !g.Serving():
 		x.CloseAfter()
-		return p.reject(x, "stopping", 503, "the dispatcher is stopping")
+		return t.reject(x, "stopping", 503, "the dispatcher is stopping")
 	case g.inFlight >= g.cfg.Limits.Requests:
-		return p.reject(x, "too_many", 503, "too many inferences are in hand")
+		return t.reject(x, "too_many", 503, "too many inferences are in hand")
 	}
-	if t := h.Get("mastchute-tenant"); len(t) > 0 && len(g.tenants) > 0 {
-		if _, ok := g.tenants[string(t)]; !ok {
-			return p.reject(x, "unknown_tenant", 400, "no such tenant in the settings")
-		}
+	tenant := x.Head.Get("mastchute-tenant")
+	if len(tenant) > 0 && len(g.tenants) > 0 && t.tenantIndex(tenant) < 0 {
+		return t.reject(x, "unknown_tenant", 400, "no such tenant in the settings")
 	}
-	for _, n := range []string{"mastchute-timeout", "mastchute-work"} {
-		if v := h.Get(n); v != nil && !(parseDecimal(v) > 0) {
-			return p.reject(x, "header", 400, n+" is no positive decimal number of seconds")
+	for _, name := range [...]string{"mastchute-timeout", "mastchute-work"} {
+		value := x.Head.Get(name)
+		if value != nil && parseDecimal(value) <= 0 {
+			return t.reject(x, "header", 400, name+" is no positive decimal number of seconds")
 		}
 	}
 	return false
 }
 
-func (p *httpClientTransport) writeHealth(x *httpconn.Exchange, well bool) bool {
-	if !well {
-		x.Problem(503, "not ready")
-		return true
-	}
-	x.FinishResponse(x.StartResponse(200), nil)
-	return true
-}
-
-// hasReadyWorker tells whether there is a worker to attempt to.
-func (g *Gateway) hasReadyWorker() bool {
-	if g.stopping || g.module == nil {
-		return false
-	}
-	for _, w := range g.workers {
-		if w.announced && w.State == control.Ready {
-			return true
-		}
-	}
-	return false
-}
-
-// reject answers before a request is taken: no Mastchute-Answer, since nothing was taken.
-func (p *httpClientTransport) reject(x *httpconn.Exchange, why string, status int, text string) bool {
-	p.gateway.Metrics.countRejection(why)
+// reject responds to a request that is not accepted. It sets no Mastchute-Answer, which only accepted requests get.
+func (t *httpClientTransport) reject(x *httpconn.Exchange, reason string, status int, detail string) bool {
+	t.gateway.Metrics.countRejection(reason)
 	b := x.StartResponse(status)
 	b = httpcodec.AppendHeader(b, "Content-Type", httpconn.ProblemType)
 	if status == 503 {
@@ -154,119 +153,188 @@
 	if status == 405 {
 		b = append(b, "Allow: POST\r\n"...)
 	}
-	x.FinishResponse(b, httpconn.AppendProblem(nil, status, text))
+	x.FinishResponse(b, httpconn.AppendProblem(nil, status, detail))
+	return true
+}
+
+func (t *httpClientTransport) writeHealth(x *httpconn.Exchange, healthy bool) bool {
+	if !healthy {
+		x.Problem(503, "not ready")
+		return true
+	}
+	x.FinishResponse(x.StartResponse(200), nil)
 	return true
 }
 
 // RequestRefused implements httpconn.Service.
-func (p *httpClientTransport) RequestRefused(e *httpcodec.Error) {
-	p.gateway.Metrics.countRejection("http_" + strconv.Itoa(e.Status))
+func (t *httpClientTransport) RequestRefused(e *httpcodec.Error) {
+	t.gateway.Metrics.countRejection("http_" + strconv.Itoa(e.Status))
 }
 
-// RequestReceived implements httpconn.Service: a request is taken.
-func (p *httpClientTransport) RequestReceived(x *httpconn.Exchange) {
-	g := p.gateway
+// RequestReceived implements httpconn.Service: it accepts a request, unless the gateway's state has changed since its head
+// was received.
+func (t *httpClientTransport) RequestReceived(x *httpconn.Exchange) {
+	g := t.gateway
 	name, _, _ := parseModelPath(x.Head.Target)
-	m, err := g.resolveModel(name)
-	if m == nil || err != nil || !g.Serving() || g.inFlight >= g.cfg.Limits.Requests {
-		p.reject(x, "stopping", 503, "the dispatcher is stopping or full") // since its head came in
+	model, err := g.resolveModel(name)
+	if err != nil || !g.Serving() || g.inFlight >= g.cfg.Limits.Requests {
+		t.reject(x, "stopping", 503, "the dispatcher is stopping or full")
 		return
 	}
-	in := control.Request{Group: m.group.index, MemoryMB: m.Memory, Concurrency: m.Lanes, LoadTimeHint: m.Load, Deadline: math.Inf(1),
-		ClientRetry: httpcodec.EqualsLower(x.Head.Get("mastchute-repeat"), "true"), WorkHint: parseDecimal(x.Head.Get("mastchute-work"))}
-	if v := x.Head.Get("mastchute-timeout"); v != nil {
-		in.Deadline = x.ReceivedAt() + parseDecimal(v)
+	details := control.Request{
+		Group:        model.group.index,
+		MemoryMB:     model.Memory,
+		Concurrency:  model.Lanes,
+		LoadTimeHint: model.Load,
+		Deadline:     math.Inf(1),
+		ClientRetry:  httpcodec.EqualsLower(x.Head.Get("mastchute-repeat"), "true"),
+		WorkHint:     parseDecimal(x.Head.Get("mastchute-work")),
 	}
-	tenant := -1
-	if t := x.Head.Get("mastchute-tenant"); len(t) > 0 {
-		if i, ok := g.tenants[string(t)]; ok {
-			tenant = i
-		}
+	if timeout := x.Head.Get("mastchute-timeout"); timeout != nil {
+		details.Deadline = x.ReceivedAt() + parseDecimal(timeout)
 	}
-	c := p.allocateWriter(x)
-	c.request = g.AcceptRequest(c, m, tenant, x.ReceivedAt(), in)
+	tenant := t.tenantIndex(x.Head.Get("mastchute-tenant"))
+	w := t.allocateWriter(x)
+	w.request = g.AcceptRequest(w, model, tenant, x.ReceivedAt(), details)
 }
 
-func (p *httpClientTransport) allocateWriter(x *httpconn.Exchange) *httpResponseWriter {
-	var c *httpResponseWriter
-	if n := len(p.freeWriters); n > 0 {
-		c, p.freeWriters = p.freeWriters[n-1], p.freeWriters[:n-1]
-	} else {
-		c = &httpResponseWriter{transport: p}
+// tenantIndex returns the index of a tenant in the settings, -1 if there is none of that name.
+func (t *httpClientTransport) tenantIndex(name []byte) int {
+	index, ok := t.gateway.tenants[string(name)]
+	if len(name) == 0 || !ok {
+		return -1
+	}
+	return index
+}
+
+// ClientGone implements httpconn.Service.
+func (t *httpClientTransport) ClientGone(x *httpconn.Exchange) {
+	w := writerOf(x)
+	if w != nil {
+		request := w.request
+		t.recycleWriter(w)
+		t.gateway.ClientGone(request)
 	}
-	c.exchange, x.ServiceState = x, c
-	return c
 }
 
-func (p *httpClientTransport) recycleWriter(c *httpResponseWriter) {
-	c.exchange, c.request = nil, nil
-	p.freeWriters = append(p.freeWriters, c)
+// StreamWritable implements httpconn.Service: a streamed response may continue.
+func (t *httpClientTransport) StreamWritable(x *httpconn.Exchange) {
+	w := writerOf(x)
+	if w != nil && w.request.streamingAttempt != nil {
+		w.request.streamingAttempt.TransportState.(*httpAttempt).call.Resume()
+	}
+}
+
+// httpResponseWriter implements ResponseWriter for one exchange. It is recycled once the response is written or the client
+// has disconnected.
+type httpResponseWriter struct {
+	transport *httpClientTransport
+	exchange  *httpconn.Exchange
+	request   *Request
 }
 
-// ClientGone implements httpconn.Service: the client has gone.
-func (p *httpClientTransport) ClientGone(x *httpconn.Exchange) {
-	if c, _ := x.ServiceState.(*httpResponseWriter); c != nil && c.exchange == x {
-		q := c.request
-		p.recycleWriter(c)
-		p.gateway.ClientGone(q)
+// writerOf returns the writer of an exchange, nil if it has none.
+func writerOf(x *httpconn.Exchange) *httpResponseWriter {
+	w, _ := x.ServiceState.(*httpResponseWriter)
+	if w == nil || w.exchange != x {
+		return nil
 	}
+	return w
 }
 
-// StreamWritable implements httpconn.Service: a streamed answer has room again.
-func (p *httpClientTransport) StreamWritable(x *httpconn.Exchange) {
-	if c, _ := x.ServiceState.(*httpResponseWriter); c != nil && c.exchange == x && c.request.streamingAttempt != nil {
-		c.request.streamingAttempt.TransportState.(*httpAttempt).call.Resume()
+func (t *httpClientTransport) allocateWriter(x *httpconn.Exchange) *httpResponseWriter {
+	var w *httpResponseWriter
+	if n := len(t.freeWriters); n > 0 {
+		w = t.freeWriters[n-1]
+		t.freeWriters = t.freeWriters[:n-1]
+	} else {
+		w = &httpResponseWriter{transport: t}
 	}
+	w.exchange = x
+	x.ServiceState = w
+	return w
 }
 
-// WriteResponse implements Client.
-func (c *httpResponseWriter) WriteResponse(q *Request, f *Attempt) {
-	x, call := c.exchange, f.TransportState.(*httpAttempt)
-	c.transport.recycleWriter(c)
-	if q.streamingAttempt == f {
+func (t *httpClientTransport) recycleWriter(w *httpResponseWriter) {
+	w.exchange = nil
+	w.request = nil
+	t.freeWriters = append(t.freeWriters, w)
+}
+
+// WriteResponse implements ResponseWriter.
+func (w *httpResponseWriter) WriteResponse(r *Request, a *Attempt) {
+	x := w.exchange
+	w.transport.recycleWriter(w)
+	if r.streamingAttempt == a {
 		x.EndStream()
 		return
 	}
-	b := c.transport.appendMarkHeaders(x.StartResponse(call.status), q, outcomeReturned)
-	x.FinishResponse(append(b, call.headers...), f.ResponseBody)
+	response := a.TransportState.(*httpAttempt)
+	b := w.transport.appendMarkHeaders(x.StartResponse(response.status), r, outcomeReturned)
+	x.FinishResponse(append(b, response.headers...), a.ResponseBody)
 }
 
-// WriteShed implements Client.
-func (c *httpResponseWriter) WriteShed(q *Request, retry float64) {
-	x := c.exchange
-	c.transport.recycleWriter(c)
-	b := c.transport.appendMarkHeaders(x.StartResponse(503), q, outcomeShed)
+// WriteShed implements ResponseWriter.
+func (w *httpResponseWriter) WriteShed(r *Request, retryAfter float64) {
+	x, t := w.exchange, w.transport
+	t.recycleWriter(w)
+	b := t.appendMarkHeaders(x.StartResponse(503), r, outcomeShed)
 	b = append(b, "Content-Type: application/problem+json\r\nRetry-After: "...)
-	b = strconv.AppendInt(b, int64(math.Ceil(retry)), 10)
+	b = strconv.AppendInt(b, int64(math.Ceil(retryAfter)), 10)
 	b = append(b, "\r\nMastchute-Retry-After: "...)
-	b = appendSeconds(b, retry)
+	b = appendSeconds(b, retryAfter)
 	b = append(b, "\r\n"...)
-	c.transport.scratch = httpconn.AppendProblem(c.transport.scratch[:0], 503, "no worker can take this now; trying again is harmless")
-	x.FinishResponse(b, c.transport.scratch)
+	t.scratch = httpconn.AppendProblem(t.scratch[:0], 503, "no worker can take this now; trying again is harmless")
+	x.FinishResponse(b, t.scratch)
 }
 
-// WriteFailure implements Client.
-func (c *httpResponseWriter) WriteFailure(q *Request, late bool, why string) {
-	x, status := c.exchange, 502
-	c.transport.recycleWriter(c)
-	if late {
-		status = 504
-	}
-	if q.streamingAttempt != nil { // the answer has begun: it can only be cut off, so that the client sees it
+// WriteFailure implements ResponseWriter.
+func (w *httpResponseWriter) WriteFailure(r *Request, late bool, why string) {
+	x, t := w.exchange, w.transport
+	t.recycleWriter(w)
+	if r.streamingAttempt != nil { // a response that has begun can only be cut off
 		x.AbortStream()
 		return
 	}
-	b := c.transport.appendMarkHeaders(x.StartResponse(status), q, outcomeFailed)
+	status := 502
+	if late {
+		status = 504
+	}
+	b := t.appendMarkHeaders(x.StartResponse(status), r, outcomeFailed)
 	b = append(b, "Content-Type: application/problem+json\r\n"...)
-	c.transport.scratch = httpconn.AppendProblem(c.transport.scratch[:0], status, why)
-	x.FinishResponse(b, c.transport.scratch)
+	t.scratch = httpconn.AppendProblem(t.scratch[:0], status, why)
+	x.FinishResponse(b, t.scratch)
 }
 
-// appendMarkHeaders are the headers of every final answer.
-func (p *httpClientTransport) appendMarkHeaders(b []byte, q *Request, a outcome) []byte {
+// appendMarkHeaders appends the headers of every final response.
+func (t *httpClientTransport) appendMarkHeaders(b []byte, r *Request, o outcome) []byte {
 	b = append(b, "Mastchute-Answer: "...)
-	b = append(b, a.String()...)
+	b = append(b, o.String()...)
 	b = append(b, "\r\nMastchute-Inference: "...)
-	b = p.gateway.appendRequestID(b, q)
+	b = t.gateway.appendRequestID(b, r)
 	return append(b, "\r\n"...)
 }
+
+func isReadMethod(method []byte) bool {
+	return httpcodec.EqualsLower(method, "get") || httpcodec.EqualsLower(method, "head")
+}
+
+// parseModelPath splits /v2/models/NAME/VERB, without its query. ok is false for any other path. Percent escapes are not
+// decoded: a name with one is another name.
+func parseModelPath(target []byte) (name, verb []byte, ok bool) {
+	const prefix = "/v2/models/"
+	target = target[:indexByte(target, '?')]
+	if len(target) <= len(prefix) || string(target[:len(prefix)]) != prefix {
+		return nil, nil, false
+	}
+	rest := target[len(prefix):]
+	slash := indexByte(rest, '/')
+	if slash == len(rest) {
+		return nil, nil, false
+	}
+	return rest[:slash], rest[slash+1:], slash > 0
+}
+
+func appendSeconds(b []byte, seconds float64) []byte {
+	return strconv.AppendFloat(b, seconds, 'f', 3, 64)
+}
--- a/internal/gateway/http_workers.go
+++ b/internal/gateway/http_workers.go
@@ -10,257 +10,299 @@
 	"mastchute/internal/rules"
 )
 
-// httpWorkerTransport is the way to one worker over HTTP/1.1.
+// Workers over HTTP/1.1: WorkerTransport on a pool of connections.
+
+// httpWorkerTransport implements WorkerTransport. The pool provides the methods that concern connections.
 type httpWorkerTransport struct {
 	gateway *Gateway
 	*httpconn.Pool
 }
 
 func newHTTPWorkerTransport(g *Gateway, w *Worker) *httpWorkerTransport {
-	l := g.cfg.Limits
-	return &httpWorkerTransport{g, httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{MaxConnections: l.WorkerConnections, MaxIdle: l.WorkerIdle,
-		IdleTimeout: l.WorkerIdleTimeout.Seconds, ConnectTimeout: l.ConnectTimeout.Seconds,
+	limits := g.cfg.Limits
+	pool := httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{
+		MaxConnections: limits.WorkerConnections,
+		MaxIdle:        limits.WorkerIdle,
+		IdleTimeout:    limits.WorkerIdleTimeout.Seconds,
+		ConnectTimeout: limits.ConnectTimeout.Seconds,
 		OnConnectionLost: func() {
 			if w.ConnectionLost() {
-				g.startStartupProbe(w)
+				g.sendStartupProbe(w)
 			}
-		}})}
+		},
+	})
+	return &httpWorkerTransport{gateway: g, Pool: pool}
 }
 
-// httpAttempt is the record of one attempt; it stays with it.
+// httpAttempt is the transport state of an attempt. It implements httpconn.ResponseHandler and httpconn.HeadRewriter.
 type httpAttempt struct {
 	attempt       *Attempt
 	call          httpconn.Call
-	head          []byte
+	head          []byte // of the request
 	status        int
-	headers       []byte // of the answer, for the client
-	contentLength int64  // of the answer, -1 for not told
+	headers       []byte // of the response, as the client gets them
+	contentLength int64  // of the response, -1 if not known
 	metadata      responseMetadata
 }
 
-// httpControlCall is the record of one order; it stays with it.
-type httpControlCall struct {
-	controlCall *ControlCall
-	call        httpconn.Call
-	head        []byte
-	body        []byte
-	metadata    responseMetadata
-}
-
-// SendAttempt implements Link.
-func (l *httpWorkerTransport) SendAttempt(f *Attempt) {
-	c, _ := f.TransportState.(*httpAttempt)
-	if c == nil {
-		c = &httpAttempt{attempt: f}
-		c.call.Handler, f.TransportState = c, c
+// SendAttempt implements WorkerTransport.
+func (t *httpWorkerTransport) SendAttempt(a *Attempt) {
+	state, _ := a.TransportState.(*httpAttempt)
+	if state == nil {
+		state = &httpAttempt{attempt: a}
+		state.call.Handler = state
+		a.TransportState = state
 	}
-	x := f.Request.Responder.(*httpResponseWriter).exchange
-	c.headers, c.status, c.contentLength, c.metadata = c.headers[:0], 0, -1, responseMetadata{}
-	c.head = l.gateway.requestHead(c.head[:0], x, f)
-	c.call.SendDeadline = f.SendDeadline
-	l.Do(&c.call, c.head, x.Body)
+	x := exchangeOf(a)
+	state.status = 0
+	state.headers = state.headers[:0]
+	state.contentLength = -1
+	state.metadata = responseMetadata{}
+	state.head = t.gateway.appendAttemptHead(state.head[:0], a, x)
+	state.call.SendDeadline = a.SendDeadline
+	t.Do(&state.call, state.head, x.Body)
 }
 
-// RewriteHead implements httpconn.Renewer.
-func (c *httpAttempt) RewriteHead() ([]byte, bool) {
-	f := c.attempt
-	now := f.gateway.Loop.Clock()
-	if f.CheckFirstByte(now, now, 0) != rules.Allowed {
-		return nil, false
-	}
-	c.head = f.gateway.requestHead(c.head[:0], f.Request.Responder.(*httpResponseWriter).exchange, f)
-	return c.head, true
+// exchangeOf returns the client's exchange of an attempt whose request has no final response yet.
+func exchangeOf(a *Attempt) *httpconn.Exchange {
+	return a.Request.Responder.(*httpResponseWriter).exchange
 }
 
-// CancelAttempt implements Link.
-func (l *httpWorkerTransport) CancelAttempt(f *Attempt) {
-	if c, _ := f.TransportState.(*httpAttempt); c != nil {
-		c.call.Cancel()
+// CancelAttempt implements WorkerTransport.
+func (t *httpWorkerTransport) CancelAttempt(a *Attempt) {
+	state, _ := a.TransportState.(*httpAttempt)
+	if state != nil {
+		state.call.Cancel()
 	}
 }
 
-// SentAt implements Link.
-func (l *httpWorkerTransport) SentAt(f *Attempt) float64 {
-	if c, _ := f.TransportState.(*httpAttempt); c != nil {
-		return c.call.SentAt
+// SentAt implements WorkerTransport.
+func (t *httpWorkerTransport) SentAt(a *Attempt) float64 {
+	state, _ := a.TransportState.(*httpAttempt)
+	if state == nil {
+		return 0
 	}
-	return 0
-}
-
-// FullySent implements Link.
-func (l *httpWorkerTransport) FullySent(f *Attempt) bool {
-	c, _ := f.TransportState.(*httpAttempt)
-	return c != nil && c.call.FullySent()
+	return state.call.SentAt
 }
 
-// SendControlCall implements Link.
-func (l *httpWorkerTransport) SendControlCall(o *ControlCall) {
-	c, _ := o.TransportState.(*httpControlCall)
-	if c == nil {
-		c = &httpControlCall{controlCall: o}
-		c.call.Handler, o.TransportState = c, c
-	}
-	c.metadata = responseMetadata{}
-	method, target, body := "GET", "/v2/load", ""
-	switch o.Kind {
-	case CallLoadModel:
-		method, target = "POST", "/v2/repository/models/"+o.Model.Name+"/load"
-		body = `{"parameters":{"copies":` + strconv.Itoa(o.Replicas) + `}}`
-	case CallUnloadModel:
-		method, target, body = "POST", "/v2/repository/models/"+o.Model.Name+"/unload", "{}"
-	}
-	b := httpcodec.AppendRequest(c.head[:0], method, target)
-	b = append(b, "Host: "...)
-	b = o.Worker.Addr.AppendTo(b)
-	b = append(b, "\r\nMastchute-Dispatcher: "...)
-	b = append(b, l.gateway.cfg.Name...)
-	b = append(b, "\r\n"...)
-	if method == "POST" {
-		b = append(b, "Content-Type: application/json\r\n"...)
-		b = httpcodec.AppendLength(b, int64(len(body)))
-	}
-	c.head, c.body = append(b, "\r\n"...), append(c.body[:0], body...)
-	l.Do(&c.call, c.head, c.body)
+// FullySent implements WorkerTransport.
+func (t *httpWorkerTransport) FullySent(a *Attempt) bool {
+	state, _ := a.TransportState.(*httpAttempt)
+	return state != nil && state.call.FullySent()
 }
 
-// CancelControlCall implements Link.
-func (l *httpWorkerTransport) CancelControlCall(o *ControlCall) {
-	if c, _ := o.TransportState.(*httpControlCall); c != nil {
-		c.call.Cancel()
+// RewriteHead implements httpconn.HeadRewriter: an attempt that waited for a connection is sent with the time left then.
+func (h *httpAttempt) RewriteHead() ([]byte, bool) {
+	a := h.attempt
+	now := a.gateway.Loop.Clock()
+	if a.CheckFirstByte(now, now, 0) != rules.Allowed {
+		return nil, false
 	}
+	h.head = a.gateway.appendAttemptHead(h.head[:0], a, exchangeOf(a))
+	return h.head, true
 }
 
-// requestHead writes the head of an attempt: the client's headers but those of its connection and ours, then ours.
-func (g *Gateway) requestHead(b []byte, x *httpconn.Exchange, f *Attempt) []byte {
-	q, h := f.Request, &x.Head
+// appendAttemptHead appends the request head of an attempt: the client's headers, then the gateway's.
+func (g *Gateway) appendAttemptHead(b []byte, a *Attempt, x *httpconn.Exchange) []byte {
+	r := a.Request
 	b = append(b, "POST /v2/models/"...)
-	b = append(b, q.model.Name...)
+	b = append(b, r.model.Name...)
 	b = append(b, "/infer HTTP/1.1\r\nHost: "...)
-	b = f.Worker.Addr.AppendTo(b)
+	b = a.Worker.Addr.AppendTo(b)
 	b = append(b, "\r\n"...)
-	conn, key := h.Get("connection"), false
-	for i := range h.Headers {
-		n, v := h.Headers[i].Name, h.Headers[i].Value
-		if httpcodec.IsHopByHop(n) || len(conn) > 0 && httpcodec.ListContains(conn, n) {
-			continue
-		}
-		if len(n) > 10 && httpcodec.EqualsLower(n[:10], "mastchute-") && !httpcodec.EqualsLower(n, "mastchute-tenant") && !httpcodec.EqualsLower(n, "mastchute-work") {
-			continue
-		}
-		key = key || httpcodec.EqualsLower(n, "idempotency-key")
-		b = append(b, n...)
-		b = append(b, ": "...)
-		b = append(b, v...)
-		b = append(b, "\r\n"...)
-	}
-	if !key && q.group.Effect != "retriable" { // a mark of our own, good for our own retries
+	b, hasKey := appendForwardedHeaders(b, &x.Head)
+	if !hasKey && r.group.effect != control.Retriable { // workers drop the gateway's own repeats by it
 		b = append(b, "Idempotency-Key: "...)
-		b = g.appendRequestID(b, q)
+		b = g.appendRequestID(b, r)
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "Mastchute-Inference: "...)
-	b = g.appendRequestID(b, q)
+	b = g.appendRequestID(b, r)
 	b = append(b, "\r\nMastchute-Forward: "...)
-	b = strconv.AppendInt(b, int64(f.Index), 10)
+	b = strconv.AppendInt(b, int64(a.Index), 10)
 	b = append(b, "\r\nMastchute-Dispatcher: "...)
 	b = append(b, g.cfg.Name...)
 	b = append(b, "\r\nMastchute-Group: "...)
-	b = append(b, q.group.Name...)
+	b = append(b, r.group.Name...)
 	b = append(b, "\r\nMastchute-Timeout: "...)
-	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), q.deadline))/1e3)
+	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), r.deadline))/1e3)
 	b = append(b, "\r\n"...)
 	b = httpcodec.AppendLength(b, int64(len(x.Body)))
 	return append(b, "\r\n"...)
 }
 
-// ResponseHead implements httpconn.Caller.
-func (c *httpAttempt) ResponseHead(h *httpcodec.Head) {
-	f, g := c.attempt, c.attempt.gateway
-	c.metadata = classifyResponse(h, g.cfg.Report)
-	f.Response = c.metadata.WorkerResponse
-	c.status, c.contentLength = h.Status, h.Length
-	g.observeStart(f.Worker, c.metadata.startEpoch)
-	if m := f.Request.model; c.metadata.Result == control.Succeeded { // what the catalogue does not say, workers may
-		m.Memory = cmp.Or(m.Memory, c.metadata.memoryMB)
-		m.Lanes = cmp.Or(m.Lanes, c.metadata.concurrency)
-		m.Load = cmp.Or(m.Load, c.metadata.loadSeconds)
+// appendForwardedHeaders appends the client's headers but those of its connection and those that the gateway sets. It
+// reports whether an idempotency key was among them.
+func appendForwardedHeaders(b []byte, head *httpcodec.Head) (appended []byte, hasKey bool) {
+	connection := head.Get("connection")
+	for i := range head.Headers {
+		name, value := head.Headers[i].Name, head.Headers[i].Value
+		if httpcodec.IsHopByHop(name) || len(connection) > 0 && httpcodec.ListContains(connection, name) {
+			continue
+		}
+		if hasMarkPrefix(name) && !httpcodec.EqualsLower(name, "mastchute-tenant") && !httpcodec.EqualsLower(name, "mastchute-work") {
+			continue
+		}
+		hasKey = hasKey || httpcodec.EqualsLower(name, "idempotency-key")
+		b = appendHeaderBytes(b, name, value)
+	}
+	return b, hasKey
+}
+
+func appendHeaderBytes(b, name, value []byte) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = append(b, value...)
+	return append(b, "\r\n"...)
+}
+
+// ResponseHead implements httpconn.ResponseHandler.
+func (h *httpAttempt) ResponseHead(head *httpcodec.Head) {
+	a, g := h.attempt, h.attempt.gateway
+	h.metadata = classifyResponse(head, g.cfg.Report)
+	h.status = head.Status
+	h.contentLength = head.Length
+	a.Response = h.metadata.WorkerResponse
+	g.observeStart(a.Worker, h.metadata.startEpoch)
+	if h.metadata.Result != control.Succeeded {
+		return
 	}
-	if c.metadata.Result != control.Succeeded || f.Request.finished {
+	// Workers may report what the catalogue does not say.
+	model := a.Request.model
+	model.Memory = cmp.Or(model.Memory, h.metadata.memoryMB)
+	model.Lanes = cmp.Or(model.Lanes, h.metadata.concurrency)
+	model.Load = cmp.Or(model.Load, h.metadata.loadSeconds)
+	if a.Request.finished {
 		return
 	}
-	for i := range h.Headers {
-		n := h.Headers[i].Name
-		if httpcodec.IsHopByHop(n) || httpcodec.EqualsLower(n, "endpoint-load-metrics") || len(n) > 10 && httpcodec.EqualsLower(n[:10], "mastchute-") {
+	h.headers = appendReturnedHeaders(h.headers, head)
+	if head.Length > g.cfg.Limits.Answer.Bytes {
+		h.startStreaming()
+	}
+}
+
+// appendReturnedHeaders appends a worker's headers but those of its connection and those for the gateway.
+func appendReturnedHeaders(b []byte, head *httpcodec.Head) []byte {
+	for i := range head.Headers {
+		name := head.Headers[i].Name
+		if httpcodec.IsHopByHop(name) || httpcodec.EqualsLower(name, "endpoint-load-metrics") || hasMarkPrefix(name) {
 			continue
 		}
-		c.headers = append(c.headers, n...)
-		c.headers = append(c.headers, ": "...)
-		c.headers = append(c.headers, h.Headers[i].Value...)
-		c.headers = append(c.headers, "\r\n"...)
-	}
-	if h.Length > g.cfg.Limits.Answer.Bytes {
-		c.startStreaming()
+		b = appendHeaderBytes(b, name, head.Headers[i].Value)
 	}
+	return b
 }
 
-// ResponseBody implements httpconn.Caller: an answer is held whole up to a limit, and goes through as it comes beyond it.
-func (c *httpAttempt) ResponseBody(b []byte) {
-	f := c.attempt
-	q := f.Request
+// ResponseBody implements httpconn.ResponseHandler. A response is buffered up to a limit, so that a retry can replace one
+// that is cut short, and streamed beyond it.
+func (h *httpAttempt) ResponseBody(data []byte) {
+	a := h.attempt
+	r := a.Request
 	switch {
-	case c.metadata.Result != control.Succeeded || q.finished && q.streamingAttempt != f:
+	case h.metadata.Result != control.Succeeded || r.finished && r.streamingAttempt != a:
 		return
-	case q.streamingAttempt == f:
-		if !q.Responder.(*httpResponseWriter).exchange.WriteStream(b) {
-			c.call.Pause()
+	case r.streamingAttempt == a:
+		if !exchangeOf(a).WriteStream(data) {
+			h.call.Pause()
 		}
 	default:
-		f.ResponseBody = append(f.ResponseBody, b...)
-		if int64(len(f.ResponseBody)) > f.gateway.cfg.Limits.Answer.Bytes {
-			c.startStreaming()
+		a.ResponseBody = append(a.ResponseBody, data...)
+		if int64(len(a.ResponseBody)) > a.gateway.cfg.Limits.Answer.Bytes {
+			h.startStreaming()
 		}
 	}
 }
 
-// startStreaming begins to pass the answer on as it comes.
-func (c *httpAttempt) startStreaming() {
-	f := c.attempt
-	cl := f.Request.Responder.(*httpResponseWriter)
-	x := cl.exchange
-	b := cl.transport.appendMarkHeaders(x.StartResponse(c.status), f.Request, outcomeReturned)
-	b = append(b, c.headers...)
-	x.StartStream(b, c.contentLength)
-	if len(f.ResponseBody) > 0 && !x.WriteStream(f.ResponseBody) {
-		c.call.Pause()
+// startStreaming begins the client's response with what has been received so far.
+func (h *httpAttempt) startStreaming() {
+	a := h.attempt
+	w := a.Request.Responder.(*httpResponseWriter)
+	x := w.exchange
+	b := w.transport.appendMarkHeaders(x.StartResponse(h.status), a.Request, outcomeReturned)
+	b = append(b, h.headers...)
+	x.StartStream(b, h.contentLength)
+	if len(a.ResponseBody) > 0 && !x.WriteStream(a.ResponseBody) {
+		h.call.Pause()
 	}
-	f.ResponseBody = f.ResponseBody[:0]
-	f.gateway.startStreaming(f)
+	a.ResponseBody = a.ResponseBody[:0]
+	a.gateway.startStreaming(a)
 }
 
-// ResponseDone implements httpconn.Caller.
-func (c *httpAttempt) ResponseDone(err error) {
+// ResponseDone implements httpconn.ResponseHandler.
+func (h *httpAttempt) ResponseDone(err error) {
+	h.attempt.Finish(finalResult(&h.call, h.metadata.Result, err))
+}
+
+// finalResult returns the result of a call that has ended: the response's unless there was an error.
+func finalResult(call *httpconn.Call, result control.Result, err error) control.Result {
 	if err != nil {
-		c.attempt.Finish(resultOfError(err, c.call.AnyByteSent()))
-		return
+		return resultOfError(err, call.AnyByteSent())
 	}
-	c.attempt.Finish(c.metadata.Result)
+	return result
 }
 
-// ResponseHead implements httpconn.Caller.
-func (c *httpControlCall) ResponseHead(h *httpcodec.Head) {
-	c.metadata = classifyResponse(h, c.controlCall.gateway.cfg.Report)
-	c.controlCall.Response = c.metadata.WorkerResponse
-	c.controlCall.gateway.observeStart(c.controlCall.Worker, c.metadata.startEpoch)
+// httpControlCall is the transport state of a control call. It implements httpconn.ResponseHandler.
+type httpControlCall struct {
+	controlCall *ControlCall
+	call        httpconn.Call
+	head        []byte
+	body        []byte
+	metadata    responseMetadata
 }
 
-// ResponseBody implements httpconn.Caller.
-func (c *httpControlCall) ResponseBody([]byte) {}
+// SendControlCall implements WorkerTransport.
+func (t *httpWorkerTransport) SendControlCall(c *ControlCall) {
+	state, _ := c.TransportState.(*httpControlCall)
+	if state == nil {
+		state = &httpControlCall{controlCall: c}
+		state.call.Handler = state
+		c.TransportState = state
+	}
+	state.metadata = responseMetadata{}
+	method, target, body := "GET", "/v2/load", ""
+	switch c.Kind {
+	case CallLoadModel:
+		method, target = "POST", "/v2/repository/models/"+c.Model.Name+"/load"
+		body = `{"parameters":{"copies":` + strconv.Itoa(c.Replicas) + `}}`
+	case CallUnloadModel:
+		method, target = "POST", "/v2/repository/models/"+c.Model.Name+"/unload"
+		body = "{}"
+	}
+	b := httpcodec.AppendRequest(state.head[:0], method, target)
+	b = append(b, "Host: "...)
+	b = c.Worker.Addr.AppendTo(b)
+	b = append(b, "\r\nMastchute-Dispatcher: "...)
+	b = append(b, t.gateway.cfg.Name...)
+	b = append(b, "\r\n"...)
+	if method == "POST" {
+		b = append(b, "Content-Type: application/json\r\n"...)
+		b = httpcodec.AppendLength(b, int64(len(body)))
+	}
+	state.head = append(b, "\r\n"...)
+	state.body = append(state.body[:0], body...)
+	t.Do(&state.call, state.head, state.body)
+}
 
-// ResponseDone implements httpconn.Caller.
-func (c *httpControlCall) ResponseDone(err error) {
-	if err != nil {
-		c.controlCall.Finish(resultOfError(err, c.call.AnyByteSent()))
-		return
+// CancelControlCall implements WorkerTransport.
+func (t *httpWorkerTransport) CancelControlCall(c *ControlCall) {
+	state, _ := c.TransportState.(*httpControlCall)
+	if state != nil {
+		state.call.Cancel()
 	}
-	c.controlCall.Finish(c.metadata.Result)
+}
+
+// ResponseHead implements httpconn.ResponseHandler.
+func (h *httpControlCall) ResponseHead(head *httpcodec.Head) {
+	c := h.controlCall
+	h.metadata = classifyResponse(head, c.gateway.cfg.Report)
+	c.Response = h.metadata.WorkerResponse
+	c.gateway.observeStart(c.Worker, h.metadata.startEpoch)
+}
+
+// ResponseBody implements httpconn.ResponseHandler. The body of a control call's response says nothing more.
+func (h *httpControlCall) ResponseBody([]byte) {}
+
+// ResponseDone implements httpconn.ResponseHandler.
+func (h *httpControlCall) ResponseDone(err error) {
+	h.controlCall.Finish(finalResult(&h.call, h.metadata.Result, err))
 }
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -4,134 +4,152 @@
 	"net/netip"
 
 	"mastchute/control"
+	"mastchute/internal/eventloop"
 	"mastchute/internal/membership"
 )
 
-// The host knows clients and workers by what follows and by nothing else. HTTP/1.1 (http_clients.go, http_workers.go) is one
-// implementation, internal/platform the other. All of it runs on the loop.
-
-// ResponseWriter is the client's side of one request. The host calls exactly one method, once, and forgets the client; when
-// the client goes first, its implementation calls Gateway.Left instead and hears nothing.
+// This file holds what a protocol implementation and the gateway share. HTTP/1.1 (http_clients.go, http_workers.go) is
+// one implementation, internal/platform the other. Every method here, on either side, is called on the event loop of the
+// gateway; nothing is safe for use by other goroutines.
+//
+// Ownership: the gateway owns Request, Attempt and ControlCall records and uses them again once they are finished. An
+// implementation may read the exported fields from the call that hands it the record until the call that finishes it,
+// and owns TransportState. The bytes of a response belong to the transport that received them.
+
+// ResponseWriter writes the final response of one request to its client. The gateway calls exactly one of its methods,
+// once, and drops its reference. If the client disconnects first, the implementation calls Gateway.ClientGone instead,
+// and none of its methods is called afterwards.
 type ResponseWriter interface {
-	// Returned passes on the answer that f holds.
-	WriteResponse(q *Request, f *Attempt)
-	// Shed answers that trying again is harmless, after so many seconds where that may be told; 0 tells nothing.
-	WriteShed(q *Request, retryAfter float64)
-	// Failed answers that it did not work out; late tells that the client's time was the reason.
-	WriteFailure(q *Request, late bool, why string)
+	// WriteResponse writes the worker's response that the attempt holds, or ends it if it has been streamed.
+	WriteResponse(request *Request, attempt *Attempt)
+	// WriteShed writes that the request was rejected and that a retry by the client is harmless. retryAfter is the
+	// proposed wait in seconds, 0 for no proposal.
+	WriteShed(request *Request, retryAfter float64)
+	// WriteFailure writes that the request failed and may have run. late reports whether the client's deadline was the
+	// reason. If a response is being streamed, it is cut off so that the client notices.
+	WriteFailure(request *Request, late bool, why string)
 }
 
-// ClientTransport takes clients in by one protocol, and makes the links to workers.
+// ClientTransport accepts clients by one protocol, and makes the transports to workers. It passes a complete request to
+// Gateway.AcceptRequest, if Gateway.Serving reports true.
 type ClientTransport interface {
-	// Link makes the way to a worker; it connects when it is used.
-	NewWorkerTransport(w *Worker) WorkerTransport
-	// Drain takes nothing new in, and ends connections as they become idle.
+	// NewWorkerTransport returns the transport to a worker, which connects on demand. It is called for a newly listed
+	// worker, and again when the worker's address or incarnation changes; the previous transport is closed then.
+	NewWorkerTransport(worker *Worker) WorkerTransport
+	// Drain stops accepting requests and closes connections as they become idle. It is called at a shutdown, and again
+	// if the control module panics meanwhile.
 	Drain()
-	// Conns is how many connections of clients are open.
+	// ConnectionCount returns the number of open client connections.
 	ConnectionCount() int
-	// Held is how many bytes of bodies are held.
+	// BufferedBytes returns the size of the request bodies held in memory.
 	BufferedBytes() int64
 }
 
-// WorkerTransport is the way to one worker: it carries attempts and orders, and tells what became of them by Attempt.End and
-// Order.End, later, once each, unless they were cancelled.
+// WorkerTransport carries attempts and control calls to one worker. It reports the end of each by Attempt.Finish or
+// ControlCall.Finish, once, and not from within SendAttempt or SendControlCall. A cancelled one is not reported.
 type WorkerTransport interface {
-	// Send hands a request to the worker.
-	SendAttempt(f *Attempt)
-	// Cancel gives an attempt up: what has not been sent never is, and nothing more is heard of it.
-	CancelAttempt(f *Attempt)
-	// Handed is the loop's time when the attempt was handed to a connection that is up; 0 before.
-	SentAt(f *Attempt) float64
-	// Whole tells whether the attempt has been handed over so far that it cannot be held back.
-	FullySent(f *Attempt) bool
-	// Order sends a load order, an unload, a probe or a hello. One that has no answer ends when it is sent.
-	SendControlCall(o *ControlCall)
-	// Drop gives an order up: nothing more is heard of it.
-	CancelControlCall(o *ControlCall)
+	// SendAttempt sends or queues the request of an attempt.
+	SendAttempt(attempt *Attempt)
+	// CancelAttempt abandons an attempt: no byte that has not been sent yet is sent, and Finish is not called. An
+	// attempt that has ended is ignored.
+	CancelAttempt(attempt *Attempt)
+	// SentAt returns the loop's time at which the attempt was written to an established connection, 0 before that.
+	SentAt(attempt *Attempt) float64
+	// FullySent reports whether the attempt can no longer be kept from the worker, as all of it has been sent.
+	FullySent(attempt *Attempt) bool
+	// SendControlCall sends a load, an unload or a probe. A call without a response finishes once it is sent.
+	SendControlCall(call *ControlCall)
+	// CancelControlCall abandons a control call: Finish is not called.
+	CancelControlCall(call *ControlCall)
 	// CloseIdle closes the connections that carry nothing.
 	CloseIdle()
-	// Abandon ends, as control.NotSent and soon, all that has not been sent.
+	// FailUnsent finishes, as control.NotSent and in this turn of the loop, everything that has not been sent.
 	FailUnsent()
-	// Close closes what is idle, and each other connection when it becomes so.
+	// Close closes idle connections at once and each other one when it becomes idle. Nothing is sent afterwards.
 	Close()
-	// Conns is how many connections there are, Queued how many attempts and orders wait to be sent.
+	// ConnectionCount returns the number of connections to the worker.
 	ConnectionCount() int
+	// QueuedCount returns the number of attempts and control calls that wait for a connection.
 	QueuedCount() int
 }
 
-// WorkerResponse is what a worker's answer says beside the answer itself. Crowd is -1 and Fields 0 where not told.
+// WorkerResponse is what a worker reports beside the body of its response.
 type WorkerResponse struct {
 	Result            control.Result
 	ModelState        control.ModelState
-	SameModelInFlight int
-	LoadReport        [8]float64 // load report by the configured fields
-	LoadReportLen     int
-	Replicas          int
+	SameModelInFlight int        // requests of the same model in flight at the worker, -1 if not reported
+	LoadReport        [8]float64 // values of the configured load report fields
+	LoadReportLen     int        // 0 if not reported
+	Replicas          int        // replicas of the model after a load
 }
 
-// Worker is a worker of the list of workers with the way to it.
+// Worker is a worker of the endpoint list together with the transport to it. The gateway owns it and keeps it until the
+// worker is evicted from the list.
 type Worker struct {
 	*membership.Worker
+
 	transport        WorkerTransport
-	transportAddr    netip.AddrPort // the link's
-	transportEpoch   float64        // the start that the list told when the link was made
-	announced        bool           // the decisions have been told of it
-	callsInFlight    int            // attempts and orders that have not ended
-	startupProbeCall *ControlCall
-	probeRetryTimer  timer // asks it once more for its start
+	transportAddr    netip.AddrPort // the address that transport connects to
+	transportEpoch   float64        // the worker's incarnation that transport was made for
+	announced        bool           // the control module has been notified of the worker
+	callsInFlight    int            // attempts and control calls that have not finished
+	startupProbeCall *ControlCall   // in flight, or nil
+	probeRetryTimer  eventloop.Timer
 	metrics          workerMetrics
 }
 
-// Attempt is one sending of a request to a worker.
+// Attempt is one transmission of a request to a worker. It belongs to its request and is used again for another request
+// after that one is released.
 type Attempt struct {
 	Request        *Request
 	Worker         *Worker
-	Index          int // counted from 0
+	Index          int // position among the attempts of the request, from 0
 	Response       WorkerResponse
-	ResponseBody   []byte // of the answer, as far as it is held
-	TransportState any    // the link's own record; it stays with this one when it is used again
-	// NotAfter is the loop's time after which none of it may leave: a repeat would no longer be dropped by the workers.
-	SendDeadline float64
+	ResponseBody   []byte  // as much of the response body as is buffered
+	TransportState any     // owned by the worker transport; it stays when the Attempt is used again
+	SendDeadline   float64 // loop time after which no first byte may be sent: workers would no longer drop the repeat
 
 	gateway      *Gateway
-	createdAt    float64 // when the decisions asked for it
-	timeoutTimer timer
-	dedupTimer   timer // fires at NotAfter
+	createdAt    float64 // loop time of the control module's action
+	timeoutTimer eventloop.Timer
+	dedupTimer   eventloop.Timer // fires at SendDeadline
 	finished     bool
-	blocked      bool // the link never had it
+	blocked      bool // a rule forbade it: the transport never received it
 	result       control.Result
 }
 
-// Finished tells whether it has ended.
-func (f *Attempt) Finished() bool { return f.finished }
+// Finished reports whether the attempt has ended.
+func (a *Attempt) Finished() bool { return a.finished }
 
-// Finish tells how it ended, by a result that Heard or the connection tells; nothing after the first time.
-func (f *Attempt) Finish(r control.Result) { f.gateway.finishAttempt(f, r) }
+// Finish records how the attempt ended. The first call counts, later ones have no effect.
+func (a *Attempt) Finish(result control.Result) { a.gateway.finishAttempt(a, result) }
 
-// ControlCallKind says what an order asks for.
+// ControlCallKind is the kind of a call to a worker that carries no client request.
 type ControlCallKind uint8
 
+// The kinds of control calls.
 const (
-	CallLoadModel ControlCallKind = iota
-	CallUnloadModel
-	CallProbe
-	CallStartupProbe // its start, which the answer to a probe tells
+	CallLoadModel    ControlCallKind = iota // load replicas of a model
+	CallUnloadModel                         // unload the idle replicas of a model
+	CallProbe                               // health check that returns a load report
+	CallStartupProbe                        // the same, sent to learn when the worker's process started
 )
 
-// ControlCall is a call to a worker that serves no request.
+// ControlCall is a call to a worker that carries no client request. The gateway owns it and uses it again after it has
+// finished.
 type ControlCall struct {
 	Kind           ControlCallKind
 	Worker         *Worker
-	Model          *Model // nil for probes and hellos
+	Model          *Model // nil for probes
 	Replicas       int
 	Response       WorkerResponse
-	TransportState any // the link's own record
+	TransportState any // owned by the worker transport; it stays when the ControlCall is used again
 
 	gateway      *Gateway
 	createdAt    float64
-	timeoutTimer timer
+	timeoutTimer eventloop.Timer
 	finished     bool
 }
 
-// Finish tells how it ended; nothing after the first time.
-func (o *ControlCall) Finish(r control.Result) { o.finish(r) }
+// Finish records how the control call ended. The first call counts, later ones have no effect.
+func (c *ControlCall) Finish(result control.Result) { c.gateway.finishControlCall(c, result) }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -1,18 +1,43 @@
 package gateway
 
 import (
+	"errors"
 	"fmt"
+	"path"
 
 	"mastchute/control"
 	"mastchute/internal/config"
 )
 
 const (
-	defaultMaxModels = 100_000 // models kept; more are refused, so that clients cannot fill the memory with names
-	modelIdleTimeout = 300.0   // s after which a model nobody asks for is forgotten; its id is the same when it comes back
+	defaultMaxModels = 100_000 // models cached; further names are rejected, so that clients cannot fill the memory with them
+	modelIdleTimeout = 300.0   // s after which a model that is not requested may be evicted; its id is the same when it returns
 )
 
-// Model is one model by name. Memory is in MB, Load in seconds; 0 where not told.
+// ErrTooManyModels is returned for a new model name while the cache is full of models in flight or in recent use.
+var ErrTooManyModels = errors.New("too many model names were seen")
+
+// errUnknownModel is returned for a model name that no entry of the catalogue matches.
+var errUnknownModel = errors.New("no such model in the catalogue")
+
+// ModelIDCollisionError is returned for a model name whose id is the hash of another cached name too.
+type ModelIDCollisionError struct {
+	Existing string // the cached name
+}
+
+// Error implements error.
+func (e *ModelIDCollisionError) Error() string {
+	return fmt.Sprintf("its id is that of model %s by chance", e.Existing)
+}
+
+// newGroupError is returned for a model whose group came with a reload: groups are set up at start.
+type newGroupError struct{ group string }
+
+func (e *newGroupError) Error() string {
+	return fmt.Sprintf("its model group %s is new: restart to use it", e.group)
+}
+
+// Model is a model by its name. Memory is in MB, Load in seconds; 0 means that it is not known.
 type Model struct {
 	Name   string
 	ID     control.ModelID
@@ -22,70 +47,86 @@
 	Load   float64
 
 	group      *group
-	lastUsed   float64 // when it was asked for last
-	inFlight   int     // requests and orders in flight that name it
+	lastUsed   float64 // loop time of its latest request
+	inFlight   int     // requests and control calls in flight that refer to it
 	prev, next *Model  // in the order of use
 }
 
-// modelCache are those in use of late, by name and id, in the order of their last use.
+// modelCache holds the models in recent use. ring is the head of a list of them in the order of their last use: its next
+// is the least recently used.
 type modelCache struct {
 	byName map[string]*Model
 	byID   map[control.ModelID]*Model
-	ring   Model // the ring's own place: next is the one used longest ago
+	ring   Model
 }
 
-func (s *modelCache) init() {
-	s.byName, s.byID = map[string]*Model{}, map[control.ModelID]*Model{}
-	s.ring.next, s.ring.prev = &s.ring, &s.ring
+func (c *modelCache) init() {
+	c.byName = map[string]*Model{}
+	c.byID = map[control.ModelID]*Model{}
+	c.ring.next = &c.ring
+	c.ring.prev = &c.ring
 }
 
-func (s *modelCache) unlink(m *Model) { m.prev.next, m.next.prev = m.next, m.prev }
+func (c *modelCache) unlink(m *Model) {
+	m.prev.next = m.next
+	m.next.prev = m.prev
+}
 
-func (s *modelCache) touch(m *Model, now float64) {
+// touch makes a model the most recently used.
+func (c *modelCache) touch(m *Model, now float64) {
 	if m.next != nil {
-		s.unlink(m)
+		c.unlink(m)
 	}
 	m.lastUsed = now
-	m.prev, m.next = s.ring.prev, &s.ring
-	m.prev.next, s.ring.prev = m, m
+	m.prev = c.ring.prev
+	m.next = &c.ring
+	m.prev.next = m
+	c.ring.prev = m
 }
 
-// evict drops those not asked for since a time; with room wanted, any that is not in flight.
-func (s *modelCache) evict(since float64, most int) {
-	for m := s.ring.next; m != &s.ring && (m.lastUsed < since || len(s.byID) >= most); {
+// evict drops the models last used before a time and, while the cache holds limit models or more, further ones in the
+// order of their last use. Models in flight stay.
+func (c *modelCache) evict(since float64, limit int) {
+	m := c.ring.next
+	for m != &c.ring && (m.lastUsed < since || len(c.byID) >= limit) {
 		next := m.next
 		if m.inFlight == 0 {
-			s.unlink(m)
-			delete(s.byName, m.Name)
-			delete(s.byID, m.ID)
+			c.unlink(m)
+			delete(c.byName, m.Name)
+			delete(c.byID, m.ID)
 		}
 		m = next
 	}
 }
 
-// resolveModel returns a model by its name, nil where the catalogue has none like it.
+// resolveModel returns the model of a name, from the cache or by the catalogue. It returns errUnknownModel if the
+// catalogue has no entry for it.
 func (g *Gateway) resolveModel(name []byte) (*Model, error) {
-	if m := g.models.byName[string(name)]; m != nil {
-		g.models.touch(m, g.Loop.Now())
+	if m := g.FindModel(name); m != nil {
 		return m, nil
 	}
 	for i := range g.cfg.Models {
-		c := &g.cfg.Models[i]
-		if !matches(c.Name, string(name)) {
+		entry := &g.cfg.Models[i]
+		if !matchesPattern(entry.Name, string(name)) {
 			continue
 		}
-		for k, q := range g.groups {
-			if q.Name == c.Group {
-				return g.AddModel(Model{Name: string(name), ID: config.ModelID(string(name)), Group: k, Memory: c.Memory.MB(),
-					Lanes: c.Lanes, Load: c.Load.Seconds})
+		for index, group := range g.groups {
+			if group.Name == entry.Group {
+				return g.AddModel(Model{Name: string(name), ID: config.ModelID(string(name)), Group: index,
+					Memory: entry.Memory.MB(), Lanes: entry.Lanes, Load: entry.Load.Seconds})
 			}
 		}
-		return nil, fmt.Errorf("its model group %s is new: restart to use it", c.Group)
+		return nil, &newGroupError{entry.Group}
 	}
-	return nil, nil
+	return nil, errUnknownModel
 }
 
-// FindModel returns a model in use of late by its name, nil if there is none.
+func matchesPattern(pattern, name string) bool {
+	ok, err := path.Match(pattern, name)
+	return ok && err == nil
+}
+
+// FindModel returns a cached model by its name, nil if there is none.
 func (g *Gateway) FindModel(name []byte) *Model {
 	m := g.models.byName[string(name)]
 	if m != nil {
@@ -94,30 +135,34 @@
 	return m
 }
 
-// AddModel takes a model in that is not in use yet.
-func (g *Gateway) AddModel(d Model) (*Model, error) {
+// AddModel adds a model to the cache, or updates the cached model of the same id and name. The error is ErrTooManyModels
+// or a *ModelIDCollisionError.
+func (g *Gateway) AddModel(model Model) (*Model, error) {
 	now := g.Loop.Now()
 	g.models.evict(now-modelIdleTimeout, g.maxModels)
-	if other := g.models.byID[d.ID]; other != nil {
-		if other.Name != d.Name {
-			return nil, fmt.Errorf("its id is that of model %s by chance", other.Name)
-		}
-		other.Group, other.Memory, other.Lanes, other.Load, other.group = d.Group, d.Memory, d.Lanes, d.Load, g.groups[d.Group]
-		g.models.byName[other.Name] = other // named anew
-		g.models.touch(other, now)
-		return other, nil
+	m := g.models.byID[model.ID]
+	if m != nil && m.Name != model.Name {
+		return nil, &ModelIDCollisionError{Existing: m.Name}
 	}
-	if len(g.models.byID) >= g.maxModels {
-		return nil, fmt.Errorf("too many model names were seen")
+	if m == nil {
+		if len(g.models.byID) >= g.maxModels {
+			return nil, ErrTooManyModels
+		}
+		m = &Model{Name: model.Name, ID: model.ID}
+		g.models.byID[m.ID] = m
 	}
-	m := &Model{Name: d.Name, ID: d.ID, Group: d.Group, Memory: d.Memory, Lanes: d.Lanes, Load: d.Load, group: g.groups[d.Group]}
-	g.models.byName[m.Name], g.models.byID[m.ID] = m, m
+	m.Group = model.Group
+	m.Memory = model.Memory
+	m.Lanes = model.Lanes
+	m.Load = model.Load
+	m.group = g.groups[model.Group]
+	g.models.byName[m.Name] = m
 	g.models.touch(m, now)
 	return m, nil
 }
 
-// SetModels takes a new catalogue in service: models seen before keep what they are unless it names them anew.
-func (g *Gateway) SetModels(list []config.Model) {
-	g.cfg.Models = list
-	clear(g.models.byName) // read anew on the next request; ids stay
+// SetModels replaces the catalogue. Cached models are resolved anew at their next request; their ids stay.
+func (g *Gateway) SetModels(catalogue []config.Model) {
+	g.cfg.Models = catalogue
+	clear(g.models.byName)
 }
--- /dev/null
+++ b/internal/gateway/module.go
@@ -0,0 +1,130 @@
+package gateway
+
+import (
+	"fmt"
+	"runtime/debug"
+
+	"mastchute/control"
+	"mastchute/internal/eventloop"
+)
+
+// Calls of the control module. The first event of a turn of the loop opens a batch, which sets the module's time; the end
+// of the turn closes it by Reconcile, which carries out the module's actions. A panic in any call ends the dispatcher.
+
+// NewModule makes the control module of a dispatcher.
+type NewModule func(seed uint64, settings control.Settings, actions control.Actions) control.Module
+
+func (g *Gateway) createModule(newModule NewModule, seed uint64) {
+	defer g.recoverPanic()
+	g.module = newModule(seed, g.settings, g)
+}
+
+// beginBatch opens a batch of events unless one is open.
+func (g *Gateway) beginBatch() {
+	if !g.batchOpen {
+		g.batchOpen = true
+		g.setModuleTime()
+	}
+}
+
+// endBatch closes the batch. The loop calls it at the end of each round of events.
+func (g *Gateway) endBatch() {
+	if !g.batchOpen {
+		return
+	}
+	g.batchOpen = false
+	g.reconcile()
+}
+
+// deliver passes an event to the module as part of the current batch. The closure allocates, so the events of the ordinary
+// path have methods of their own.
+func (g *Gateway) deliver(event func(module control.Module)) {
+	g.beginBatch()
+	g.callModule(event)
+}
+
+// callModule calls the module, if there is one, outside of a batch.
+func (g *Gateway) callModule(call func(module control.Module)) {
+	defer g.recoverPanic()
+	if g.module != nil {
+		call(g.module)
+	}
+}
+
+func (g *Gateway) setModuleTime() {
+	defer g.recoverPanic()
+	if g.module != nil {
+		g.module.SetNow(g.Loop.Now())
+	}
+}
+
+func (g *Gateway) reconcile() {
+	defer g.recoverPanic()
+	if g.module != nil {
+		g.module.Reconcile()
+	}
+}
+
+func (g *Gateway) deliverRequest(request *control.Request) {
+	g.beginBatch()
+	defer g.recoverPanic()
+	if g.module != nil {
+		g.module.RequestArrived(*request)
+	}
+}
+
+func (g *Gateway) deliverAttemptResult(result *control.AttemptResult) {
+	g.beginBatch()
+	defer g.recoverPanic()
+	if g.module != nil {
+		g.module.AttemptFinished(*result)
+	}
+}
+
+func (g *Gateway) deliverTimer(id control.TimerID) {
+	g.beginBatch()
+	defer g.recoverPanic()
+	if g.module != nil {
+		g.module.TimerFired(id)
+	}
+}
+
+func (g *Gateway) deliverCancellation(request *Request) {
+	g.deliver(func(module control.Module) { module.RequestCancelled(request.id) })
+}
+
+// recoverPanic is deferred around each call of the module.
+func (g *Gateway) recoverPanic() {
+	if v := recover(); v != nil {
+		g.handlePanic(fmt.Sprint(v), debug.Stack())
+	}
+}
+
+// handlePanic ends the dispatcher after a panic of the module: every request in flight fails, as the module's state can no
+// longer be trusted.
+func (g *Gateway) handlePanic(message string, stack []byte) {
+	g.exitStatus.PanicMessage = message
+	g.module = nil
+	g.DumpFlightRecorder("crash")
+	g.log.Error().Str("panic", message).Str("stack", string(stack)).Int("in_flight", g.inFlight).Msg("decision code failed; this dispatcher ends")
+	g.Loop.Defer(func() {
+		g.clients.Drain()
+		g.finishAll("the dispatcher failed")
+		g.stopping = true
+		g.stopDeadline = g.Loop.Now()
+		g.continueShutdown()
+	})
+}
+
+// SetTimer starts a timer of the module, or moves it. It implements control.Actions.
+func (g *Gateway) SetTimer(after control.Seconds, id control.TimerID) {
+	t := g.moduleTimers[id]
+	if t == nil {
+		t = &eventloop.Timer{Fire: func() { g.deliverTimer(id) }}
+		g.moduleTimers[id] = t
+	}
+	g.Loop.Start(t, after)
+}
+
+// Log logs a text of the module. It implements control.Actions.
+func (g *Gateway) Log(text string) { g.log.Info().Str("from", "decisions").Msg(text) }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -6,225 +6,156 @@
 
 	"mastchute/control"
 	"mastchute/internal/eventloop"
-	"mastchute/internal/rules"
 )
 
-// outcome is how a request ended for its client.
-type outcome uint8
+// Request is a client's request in flight: from its acceptance until its final response is given and the control module
+// has been notified of the end of every attempt. Its record is a slot of the request table and is used again.
+type Request struct {
+	Responder ResponseWriter // nil once the final response is given or the client has disconnected
+
+	id                 control.RequestID
+	seq                uint64 // counts the requests of this process, from 1
+	model              *Model
+	group              *group
+	tenant             int // index in the settings, -1 for none
+	arrivedAt          float64
+	deadline           float64
+	deadlineTimer      eventloop.Timer
+	attemptCount       int
+	attempts           [maxAttempts]*Attempt
+	unreportedAttempts int      // attempts of whose end the control module has not been notified
+	streamingAttempt   *Attempt // the attempt whose response is passed on as it arrives
+	finished           bool     // the final response is given, or the client has disconnected
+	inUse              bool     // the slot holds a request
+	generation         uint32   // uses of the slot
+	traceID            [16]byte // the client's own name of the request, if it has one
+}
 
-const (
-	outcomeReturned outcome = iota
-	outcomeShed
-	outcomeFailed
-	outcomeClientGone // the client went first: nobody to answer
-	outcomeCount
-)
+// Model returns the requested model.
+func (r *Request) Model() *Model { return r.model }
 
-func (a outcome) String() string { return [...]string{"returned", "shed", "failed", "left"}[a] }
+// Deadline returns the client's deadline in seconds of the loop's clock.
+func (r *Request) Deadline() float64 { return r.deadline }
 
-// Request is one in flight: it lives until its final answer is given and no attempt is out.
-type Request struct {
-	Responder ResponseWriter // nil once answered, or when the client has left
-
-	id                               control.RequestID
-	seq                              uint64
-	model                            *Model
-	group                            *group
-	tenant                           int
-	arrivedAt                        float64
-	deadline                         float64
-	attemptCount, unreportedAttempts int
-	attempts                         [maxAttempts]*Attempt
-	streamingAttempt                 *Attempt // the one whose answer goes to the client as it comes
-	finished                         bool
-	inUse                            bool
-	generation                       uint32
-	deadlineTimer                    eventloop.Timer // the client's time
-	traceID                          [16]byte        // its client's name for it, where it has one
-}
+// Finished reports whether the final response is given or the client has disconnected.
+func (r *Request) Finished() bool { return r.finished }
 
-// Model is the model it asks for, NotAfter the end of the client's time on the loop's clock, Final whether its final
-// answer is given.
-func (q *Request) Model() *Model     { return q.model }
-func (q *Request) Deadline() float64 { return q.deadline }
-func (q *Request) Finished() bool    { return q.finished }
+// ID returns the id that the control module knows the request by.
+func (r *Request) ID() control.RequestID { return r.id }
 
-// ID names it towards the decisions.
-func (q *Request) ID() control.RequestID { return q.id }
+// Tenant returns the index of the request's tenant in the settings, -1 if it has none.
+func (r *Request) Tenant() int { return r.tenant }
 
-// Tenant is the number of its tenant in the settings, -1 where none is told.
-func (q *Request) Tenant() int { return q.tenant }
+// SetTrace sets the client's own name of the request, which logs and dumps show.
+func (r *Request) SetTrace(id [16]byte) { r.traceID = id }
 
-// InFlight is how many requests are in flight.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int { return g.inFlight }
 
-// Serving tells whether requests are taken: not while stopping, nor after the decisions failed.
+// Serving reports whether requests are accepted: not during a shutdown, nor after the control module panicked.
 func (g *Gateway) Serving() bool { return !g.stopping && g.module != nil }
 
-// AcceptRequest takes a request: from here on its client is owed one final answer. in says what the client told and the model's
-// group; tenant is -1 where none is told. cameIn is when it came in: its time counts from then.
-func (g *Gateway) AcceptRequest(c ResponseWriter, m *Model, tenant int, cameIn float64, in control.Request) *Request {
-	q := g.allocateRequest()
-	q.Responder, q.model, q.group, q.arrivedAt, q.tenant = c, m, g.groups[in.Group], cameIn, tenant
-	m.inFlight++
-	q.deadline = math.Min(cameIn+q.group.Timeout.Seconds, in.Deadline)
-	in.Deadline = q.deadline
-	span := q.deadline - g.Loop.Now()
-	in.ID, in.Model, in.Tenant = q.id, m.ID, math.MaxUint16
+// AcceptRequest accepts a request: from here on its client is owed one final response by responder. tenant is an index in
+// the settings, -1 for none. The group's timeout counts from arrivedAt, when the request arrived on the loop's clock.
+// details holds what the client asked for and the model's group; AcceptRequest fills in the rest.
+func (g *Gateway) AcceptRequest(responder ResponseWriter, model *Model, tenant int, arrivedAt float64, details control.Request) *Request {
+	r := g.allocateRequest()
+	r.Responder = responder
+	r.model = model
+	r.group = g.groups[details.Group]
+	r.arrivedAt = arrivedAt
+	r.tenant = tenant
+	r.deadline = math.Min(arrivedAt+r.group.Timeout.Seconds, details.Deadline)
+	model.inFlight++
+
+	details.ID = r.id
+	details.Model = model.ID
+	details.Deadline = r.deadline
+	details.Tenant = math.MaxUint16
 	if tenant >= 0 {
-		in.Tenant = control.TenantID(tenant)
+		details.Tenant = control.TenantID(tenant)
 	}
-	q.group.metrics.accepted.Inc()
-	g.Loop.Start(&q.deadlineTimer, span)
-	g.RecordEvent("taken", q.group.Name, q, nil, span)
-	g.beginBatch()
-	g.deliverRequest(&in)
-	return q
+
+	timeLeft := r.deadline - g.Loop.Now()
+	r.group.metrics.accepted.Inc()
+	g.Loop.Start(&r.deadlineTimer, timeLeft)
+	g.RecordEvent("request_accepted", r.group.Name, r, nil, timeLeft)
+	g.deliverRequest(&details)
+	return r
 }
 
-// ClientGone tells that the client has gone, or has taken the request back: nobody is to be answered.
-func (g *Gateway) ClientGone(q *Request) {
-	if q == nil || !q.inUse || q.finished {
+// ClientGone ends a request whose client has disconnected or cancelled it: there is nobody to respond to.
+func (g *Gateway) ClientGone(r *Request) {
+	if r == nil || !r.inUse || r.finished {
 		return
 	}
-	q.Responder = nil
-	g.finishRequest(q, outcomeClientGone)
-	if s := q.streamingAttempt; s != nil {
-		g.finishAttempt(s, control.Cancelled)
-	}
-	g.beginBatch()
-	if g.module != nil {
-		g.callModule(func() { g.module.RequestCancelled(q.id) })
+	r.Responder = nil
+	g.finishRequest(r, outcomeClientGone)
+	if r.streamingAttempt != nil {
+		g.finishAttempt(r.streamingAttempt, control.Cancelled)
 	}
+	g.deliverCancellation(r)
 }
 
-// allocateRequest takes a slot of the request table.
+// allocateRequest returns a free slot of the request table under a new id.
 func (g *Gateway) allocateRequest() *Request {
 	if len(g.freeSlots) == 0 {
-		q := &Request{}
-		q.deadlineTimer.Fire = func() { g.deadlineExceeded(q) }
-		g.requests = append(g.requests, q)
+		r := &Request{}
+		r.deadlineTimer.Fire = func() { g.deadlineExceeded(r) }
+		g.requests = append(g.requests, r)
 		g.freeSlots = append(g.freeSlots, int32(len(g.requests)-1))
 	}
-	i := g.freeSlots[len(g.freeSlots)-1]
+	slot := g.freeSlots[len(g.freeSlots)-1]
 	g.freeSlots = g.freeSlots[:len(g.freeSlots)-1]
-	q := g.requests[i]
+	r := g.requests[slot]
 	g.lastSeq++
-	timer, gen := q.deadlineTimer, q.generation+1
-	*q = Request{deadlineTimer: timer, generation: gen, inUse: true, seq: g.lastSeq}
-	q.id = control.RequestID(uint32(i) | gen<<requestSlotBits)
+	generation := r.generation + 1
+	*r = Request{
+		id:            control.RequestID(uint32(slot) | generation<<requestSlotBits),
+		seq:           g.lastSeq,
+		deadlineTimer: r.deadlineTimer,
+		inUse:         true,
+		generation:    generation,
+	}
 	g.inFlight++
-	return q
+	return r
 }
 
-// findRequest returns a request in flight, nil when it has ended.
-func (g *Gateway) findRequest(id control.RequestID) *Request {
-	if i := int(id & (1<<requestSlotBits - 1)); i < len(g.requests) {
-		if q := g.requests[i]; q.inUse && q.id == id {
-			return q
-		}
-	}
-	return nil
-}
+func slotOf(id control.RequestID) int { return int(id & (1<<requestSlotBits - 1)) }
 
-// releaseRequest frees the slot once the final answer is given and no attempt is out.
-func (g *Gateway) releaseRequest(q *Request) {
-	if !q.inUse || !q.finished || q.unreportedAttempts > 0 {
-		return
+// findRequest returns a request in flight, nil if it has been released. The generation in the id tells a late event of an
+// earlier use of the slot apart.
+func (g *Gateway) findRequest(id control.RequestID) *Request {
+	slot := slotOf(id)
+	if slot >= len(g.requests) {
+		return nil
 	}
-	for i := range q.attempts[:q.attemptCount] {
-		f := q.attempts[i]
-		q.attempts[i] = nil
-		g.recycleAttempt(f)
+	r := g.requests[slot]
+	if !r.inUse || r.id != id {
+		return nil
 	}
-	g.Loop.Cancel(&q.deadlineTimer)
-	q.inUse = false
-	q.model.inFlight--
-	q.model = nil
-	g.freeSlots = append(g.freeSlots, int32(q.id&(1<<requestSlotBits-1)))
-	g.inFlight--
+	return r
 }
 
-// deadlineExceeded guards rule 1: the decisions answer before the client's time; where they have not, this does. Whatever is
-// still out then has timed out.
-func (g *Gateway) deadlineExceeded(q *Request) {
-	if !q.inUse || q.streamingAttempt != nil {
+// releaseRequest frees the slot once the final response is given and every attempt has been reported.
+func (g *Gateway) releaseRequest(r *Request) {
+	if !r.inUse || !r.finished || r.unreportedAttempts > 0 {
 		return
 	}
-	if !q.finished {
-		g.Metrics.countGuard("late")
-		g.failRequest(q, true, "the time is up")
-		g.beginBatch()
-		if g.module != nil {
-			g.callModule(func() { g.module.RequestCancelled(q.id) })
-		}
-	}
-	for _, f := range q.attempts[:q.attemptCount] {
-		g.finishAttempt(f, control.TimedOut)
+	for i, a := range r.attempts[:r.attemptCount] {
+		r.attempts[i] = nil
+		g.recycleAttempt(a)
 	}
+	g.Loop.Cancel(&r.deadlineTimer)
+	r.inUse = false
+	r.model.inFlight--
+	r.model = nil
+	g.freeSlots = append(g.freeSlots, int32(slotOf(r.id)))
+	g.inFlight--
 }
 
-// finishAtShutdown gives the final answer at a stop: shed where trying again is harmless, as no attempt has run or may or the model
-// group is retriable, else failed.
-func (g *Gateway) finishAtShutdown(q *Request, why string) {
-	harmless := q.streamingAttempt == nil && (q.group.effect == control.Retriable || !q.shedFacts().MayHaveRun)
-	if !harmless {
-		g.failRequest(q, false, why)
-	} else if c := g.takeResponder(q, outcomeShed); c != nil {
-		c.WriteShed(q, 0)
-	}
-}
-
-// shedFacts is what the rules need to know of a request that is to be shed: what has not left yet never will.
-func (q *Request) shedFacts() rules.Request {
-	t := rules.Request{Answered: q.finished, Effect: q.group.effect}
-	for _, f := range q.attempts[:q.attemptCount] {
-		if f.finished && !f.result.NeverRan() || !f.finished && f.Worker.transport.FullySent(f) {
-			t.MayHaveRun = true
-		}
-	}
-	return t
-}
-
-// failRequest gives the final answer that promises nothing.
-func (g *Gateway) failRequest(q *Request, late bool, why string) {
-	if c := g.takeResponder(q, outcomeFailed); c != nil {
-		c.WriteFailure(q, late, why)
-		if q.streamingAttempt != nil { // it had begun: it was cut off
-			g.finishAttempt(q.streamingAttempt, control.Cancelled)
-		}
-	}
-}
-
-// takeResponder books a final answer of our own, and returns the client to give it to.
-func (g *Gateway) takeResponder(q *Request, a outcome) ResponseWriter {
-	if q.finished {
-		g.Metrics.countGuard("second_answer")
-		return nil
-	}
-	c := q.Responder
-	q.Responder = nil
-	g.finishRequest(q, a)
-	return c
-}
-
-func (g *Gateway) appendRequestID(b []byte, q *Request) []byte {
+// appendRequestID appends the id of a request that clients and workers see.
+func (g *Gateway) appendRequestID(b []byte, r *Request) []byte {
 	b = append(b, g.requestIDPrefix...)
-	return strconv.AppendUint(b, q.seq, 10)
-}
-
-// finishRequest books the final answer. Rule 1: whatever has not been sent by now never is.
-func (g *Gateway) finishRequest(q *Request, a outcome) {
-	q.finished = true
-	now := g.Loop.Now()
-	q.group.metrics.requestFinished(a, now-q.arrivedAt)
-	g.logFinished(q, a, now)
-	g.RecordEvent("final", a.String(), q, nil, now-q.arrivedAt)
-	for _, f := range q.attempts[:q.attemptCount] {
-		if !f.finished && !f.Worker.transport.FullySent(f) {
-			g.finishAttempt(f, control.Cancelled)
-		}
-	}
-	g.Loop.Defer(g.reportFinishedFn) // also lets its place go
-	g.finished = append(g.finished, finishedAttempt{request: q})
+	return strconv.AppendUint(b, r.seq, 10)
 }
--- a/internal/gateway/rule_checks.go
+++ b/internal/gateway/rule_checks.go
@@ -4,105 +4,92 @@
 	"math"
 
 	"mastchute/control"
-	"mastchute/internal/flightrecorder"
 	"mastchute/internal/rules"
 )
 
-// attemptFacts is what the rules need to know of a request for an attempt at a worker, given the attempts before it.
-func (q *Request) attemptFacts(w *Worker, before int) rules.Request {
-	t := rules.Request{Answered: q.finished, Deadline: q.deadline, Effect: q.group.effect, DedupUntil: math.Inf(1)}
-	for _, f := range q.attempts[:before] {
-		if f.finished && f.result.NeverRan() {
+// The facts that package rules decides by, and the record of what it forbade.
+
+var ruleNames = [...]string{"0", "1", "2", "3", "4", "5"} // values of the metric label "rule"
+
+// attemptFacts returns the facts that bear on an attempt at a worker, given the first attempts of the request.
+func (r *Request) attemptFacts(w *Worker, earlier int) rules.RequestFacts {
+	facts := rules.RequestFacts{Answered: r.finished, Deadline: r.deadline, Effect: r.group.effect, DedupUntil: math.Inf(1)}
+	for _, a := range r.attempts[:earlier] {
+		if a.finished && a.result.NeverRan() {
 			continue
 		}
-		if !t.MayHaveRun {
-			t.MayHaveRun, t.DedupUntil, t.InDedupScope = true, f.createdAt+q.group.Window.Seconds, true
+		if !facts.MayHaveRun {
+			facts.MayHaveRun = true
+			facts.DedupUntil = a.createdAt + r.group.Window.Seconds
+			facts.InDedupScope = true
 		}
-		t.InDedupScope = t.InDedupScope && q.group.dedupScopeCovers(f.Worker, w)
+		facts.InDedupScope = facts.InDedupScope && r.group.dedupScopeCovers(a.Worker, w)
 	}
-	return t
+	return facts
 }
 
-// dedupDeadline is when the window ends in which workers drop a repeat, counted from the first attempt that may have run;
-// endless where there is none, or where repeats do no harm.
-func dedupDeadline(t rules.Request) float64 {
-	if t.Effect == control.Deduplicated && t.MayHaveRun {
-		return t.DedupUntil
+// shedFacts returns the facts that bear on shedding a request. An attempt in flight that has not been fully sent counts as
+// one that never ran, since the final response cancels it.
+func (r *Request) shedFacts() rules.RequestFacts {
+	facts := rules.RequestFacts{Answered: r.finished, Effect: r.group.effect}
+	for _, a := range r.attempts[:r.attemptCount] {
+		if a.finished && !a.result.NeverRan() || !a.finished && a.Worker.transport.FullySent(a) {
+			facts.MayHaveRun = true
+		}
+	}
+	return facts
+}
+
+// dedupDeadline returns when workers cease to drop a repeat, counted from the first attempt that may have run; +Inf if
+// none may have, or if repeats are harmless.
+func dedupDeadline(facts rules.RequestFacts) float64 {
+	if facts.Effect == control.Deduplicated && facts.MayHaveRun {
+		return facts.DedupUntil
 	}
 	return math.Inf(1)
 }
 
-// dedupScopeCovers tells whether two workers drop each other's repeats.
-func (c *group) dedupScopeCovers(a, b *Worker) bool {
-	switch c.Scope {
-	case "all":
+// dedupScopeCovers reports whether two workers drop each other's repeats.
+func (g *group) dedupScopeCovers(a, b *Worker) bool {
+	switch g.dedupScope {
+	case control.ScopeAll:
 		return true
-	case "zone":
+	case control.ScopeZone:
 		return a.Zone == b.Zone
-	case "cell":
+	case control.ScopeCell:
 		return a.Zone == b.Zone && a.Cell == b.Cell
 	}
 	return a == b
 }
 
-// isReady tells whether new work may go to a worker.
+// isReady reports whether new work may be sent to a worker.
 func (w *Worker) isReady() bool { return w.State == control.Ready }
 
-// CheckFirstByte tells whether the first byte of an attempt may go to the kernel at a time of the loop's clock, in a message that
-// was written at another, for the renewed-th time. A refusal is counted: the attempt was overtaken on its way out, which is no fault.
-func (f *Attempt) CheckFirstByte(now, written float64, renewed int) rules.Reason {
-	terms := f.Request.attemptFacts(f.Worker, f.Index)
-	terms.DedupUntil = f.SendDeadline
-	why := rules.CheckFirstByte(now, written, renewed, terms, f.Worker.isReady())
-	if why != rules.Allowed {
-		f.gateway.Metrics.heldBack.WithLabelValues(ruleNames[why.Rule()], why.String()).Inc()
-		f.gateway.RecordEvent("overtaken", why.String(), f.Request, f.Worker, now-written)
+// CheckFirstByte returns whether the first byte of an attempt may be sent at now, in a message whose deadline was encoded
+// at encodedAt and that has been encoded again so many times. What it forbids is counted as held back: events overtook the
+// attempt in the send queue, which is no fault.
+func (a *Attempt) CheckFirstByte(now, encodedAt float64, renewals int) rules.Reason {
+	facts := a.Request.attemptFacts(a.Worker, a.Index)
+	facts.DedupUntil = a.SendDeadline
+	reason := rules.CheckFirstByte(now, encodedAt, renewals, facts, a.Worker.isReady())
+	if reason != rules.Allowed {
+		a.gateway.Metrics.heldBack.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
+		a.gateway.RecordEvent("attempt_held_back", reason.String(), a.Request, a.Worker, now-encodedAt)
 	}
-	return why
+	return reason
 }
 
-// recordViolation counts and logs that the decisions asked for what a rule forbids; it was not done.
-func (g *Gateway) recordViolation(why rules.Reason, what string, q *Request, w *Worker) {
-	g.Metrics.violations.WithLabelValues(ruleNames[why.Rule()], why.String()).Inc()
-	g.RecordEvent("violation", why.String(), q, w, 0)
-	e := g.log.Error().Int("rule", why.Rule()).Stringer("reason", why).Str("act", what)
-	if q != nil {
-		e = e.Str("inference", string(g.appendRequestID(nil, q))).Bytes("trace", q.traceID[:])
+// recordViolation counts and logs an action of the control module that a rule forbids; it is not carried out. The request
+// and the worker may be nil.
+func (g *Gateway) recordViolation(reason rules.Reason, action string, r *Request, w *Worker) {
+	g.Metrics.violations.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
+	g.RecordEvent("rule_violation", reason.String(), r, w, 0)
+	e := g.log.Error().Int("rule", reason.Rule()).Stringer("reason", reason).Str("action", action)
+	if r != nil {
+		e = e.Str("request_id", string(g.appendRequestID(nil, r))).Bytes("trace", r.traceID[:])
 	}
 	if w != nil {
 		e = e.Str("worker", w.Name)
 	}
 	e.Msg("rule violation barred")
 }
-
-var ruleNames = [...]string{"0", "1", "2", "3", "4", "5"}
-
-// RecordEvent records a state change with its reason. q and w may be nil.
-func (g *Gateway) RecordEvent(what, why string, q *Request, w *Worker, value float64) {
-	e := flightrecorder.Event{At: g.Loop.Now(), What: what, Why: why, Value: value}
-	if q != nil {
-		e.Request = q.seq
-	}
-	if w != nil {
-		e.Worker = uint32(w.ID)
-	}
-	g.Events.Add(e)
-}
-
-// SetTrace names a request as its client does, in logs and dumps.
-func (q *Request) SetTrace(id [16]byte) { q.traceID = id }
-
-// DumpFlightRecorder writes the flight recorder to the log, oldest event first, and the requests in flight.
-func (g *Gateway) DumpFlightRecorder(why string) {
-	g.log.Warn().Str("why", why).Uint64("events", g.Events.Count()).Int("in_hand", g.inFlight).Msg("flight recorder")
-	g.Events.Each(func(e *flightrecorder.Event) {
-		g.log.Warn().Float64("at", e.At).Str("what", e.What).Str("reason", e.Why).Uint64("request", e.Request).
-			Uint32("worker_id", e.Worker).Float64("value", e.Value).Msg("event")
-	})
-	for _, q := range g.requests {
-		if q.inUse {
-			g.log.Warn().Uint64("request", q.seq).Bytes("trace", q.traceID[:]).Bool("answered", q.finished).Int("attempts", q.attemptCount).
-				Int("out", q.unreportedAttempts).Float64("left_s", q.deadline-g.Loop.Now()).Msg("in flight")
-		}
-	}
-}
--- /dev/null
+++ b/internal/gateway/shutdown.go
@@ -0,0 +1,118 @@
+package gateway
+
+import (
+	"math"
+
+	"mastchute/control"
+)
+
+const (
+	shutdownPollInterval = 0.01 // s between checks whether the shutdown is complete
+	finalFlushDelay      = 0.1  // s after the last final response for the kernel to send it
+	lingerTimeout        = 1.5  // s after the last final response for clients to read it
+)
+
+// ExitStatus is how a gateway ended.
+type ExitStatus struct {
+	PanicMessage   string // of the control module, if it panicked
+	FailedRequests int    // requests that got their final response because the shutdown's grace period expired
+}
+
+// ExitStatus returns how the gateway ended, once its loop has.
+func (g *Gateway) ExitStatus() ExitStatus { return g.exitStatus }
+
+// Stop begins a graceful shutdown: nothing new is accepted, each request in flight gets its final response within grace
+// seconds, and then the loop stops. A further call can only shorten the grace period.
+func (g *Gateway) Stop(grace float64) {
+	deadline := g.Loop.Now() + grace
+	if g.stopping {
+		g.stopDeadline = math.Min(g.stopDeadline, deadline)
+	} else {
+		g.log.Info().Int("in_flight", g.inFlight).Float64("grace_s", grace).Msg("stopping")
+		g.RecordEvent("shutdown_started", "", nil, nil, grace)
+		g.stopping = true
+		g.stopDeadline = deadline
+		g.clients.Drain()
+	}
+	g.continueShutdown()
+}
+
+// continueShutdown stops the loop when everything is complete, and checks again soon otherwise.
+func (g *Gateway) continueShutdown() {
+	now := g.Loop.Now()
+	if g.inFlight > 0 && now >= g.stopDeadline {
+		g.graceExpired()
+	}
+	if !g.hasUnfinishedRequests() {
+		for _, w := range g.workers {
+			w.transport.Close()
+			w.transport.FailUnsent()
+		}
+		g.stopDeadline = math.Min(g.stopDeadline, now)
+		if g.isShutdownComplete(now) {
+			g.log.Info().Msg("stopped")
+			g.Loop.Stop()
+			return
+		}
+	}
+	g.Loop.Start(&g.stopTimer, shutdownPollInterval)
+}
+
+func (g *Gateway) graceExpired() {
+	failed := g.finishAll("the dispatcher is stopping")
+	if failed > 0 {
+		g.exitStatus.FailedRequests += failed
+		g.log.Warn().Int("failed", failed).Msg("stop grace ran out; requests in flight ended")
+	}
+}
+
+// isShutdownComplete reports whether the loop may stop, given that every request has its final response: once clients
+// have closed their connections, or have had time to read the last responses.
+func (g *Gateway) isShutdownComplete(now float64) bool {
+	if now > g.stopDeadline+lingerTimeout {
+		return true
+	}
+	if g.clients.ConnectionCount() > 0 {
+		return false
+	}
+	return g.Loop.Stats.Connections.Load() == 0 || now > g.stopDeadline+finalFlushDelay
+}
+
+// hasUnfinishedRequests reports whether any request still waits for its final response.
+func (g *Gateway) hasUnfinishedRequests() bool {
+	for _, r := range g.requests {
+		if r.inUse && !r.finished {
+			return true
+		}
+	}
+	return false
+}
+
+// finishAll gives each request in flight its final response, and returns how many there were.
+func (g *Gateway) finishAll(why string) int {
+	count := 0
+	for _, r := range g.requests {
+		if !r.inUse || r.finished {
+			continue
+		}
+		count++
+		if g.exitStatus.PanicMessage != "" {
+			g.failRequest(r, false, why)
+		} else {
+			g.finishAtShutdown(r, why)
+		}
+		g.deliverCancellation(r)
+	}
+	return count
+}
+
+// finishAtShutdown sheds a request if the client may retry it without harm, as no attempt of it may have run or its group
+// is retriable, and fails it otherwise.
+func (g *Gateway) finishAtShutdown(r *Request, why string) {
+	harmless := r.streamingAttempt == nil && (r.group.effect == control.Retriable || !r.shedFacts().MayHaveRun)
+	if !harmless {
+		g.failRequest(r, false, why)
+		return
+	}
+	g.shedRequest(r, 0)
+}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,139 +1,194 @@
 package gateway
 
-import (
-	"github.com/rs/zerolog"
+import "mastchute/control"
 
-	"mastchute/control"
-)
+const maxListedRequests = 1000 // requests in flight that a status lists
 
-// Status is what a dispatcher knows at one moment, for operators.
+// Status is a snapshot of a dispatcher for operators, as /status serves it.
 type Status struct {
-	Name        string          `json:"name"`
-	Now         float64         `json:"now_s"` // seconds since its start
-	Stopping    bool            `json:"stopping"`
-	Crash       string          `json:"crash,omitempty"`
-	Version     uint32          `json:"roster_version"`
-	Taken       uint64          `json:"taken"`
-	InHand      int             `json:"in_hand"`
-	Connections int64           `json:"connections"`
-	Memory      int64           `json:"bodies_held_bytes"`
-	Workers     []WorkerStatus  `json:"workers"`
-	Hand        []RequestStatus `json:"hand"`
+	Name             string          `json:"name"`
+	Now              float64         `json:"now_s"` // seconds since the dispatcher's start
+	Stopping         bool            `json:"stopping"`
+	PanicMessage     string          `json:"crash,omitempty"`
+	ListVersion      uint32          `json:"roster_version"`
+	AcceptedRequests uint64          `json:"taken"`
+	InFlight         int             `json:"in_flight"`
+	Connections      int64           `json:"connections"`
+	BufferedBytes    int64           `json:"buffered_bytes"`
+	Workers          []WorkerStatus  `json:"workers"`
+	Requests         []RequestStatus `json:"requests_in_flight"`
+
+	// Former keys, with the same values; they go in the next version.
+	DeprecatedInHand          int             `json:"in_hand"`           // Deprecated: in_flight
+	DeprecatedBodiesHeldBytes int64           `json:"bodies_held_bytes"` // Deprecated: buffered_bytes
+	DeprecatedHand            []RequestStatus `json:"hand"`              // Deprecated: requests_in_flight
 }
 
-// WorkerStatus is one worker.
+// WorkerStatus is a worker of the endpoint list.
 type WorkerStatus struct {
 	Name        string   `json:"name"`
 	Address     string   `json:"address"`
 	State       string   `json:"state"`
-	From        string   `json:"from"`
+	Source      string   `json:"from"`
 	Version     uint32   `json:"version"`
-	Heard       float64  `json:"heard_s"`
-	Told        bool     `json:"told"`            // the decisions know of it
-	Age         *float64 `json:"age_s,omitempty"` // since its start, where told
+	ChangedAt   float64  `json:"heard_s"`
+	Announced   bool     `json:"announced"`       // the control module has been notified of it
+	Age         *float64 `json:"age_s,omitempty"` // seconds since its start, if known
 	Connections int      `json:"connections"`
-	Queued      int      `json:"queued"` // attempts that wait for a connection
-	Out         int      `json:"out"`
-	Work        float64  `json:"work_s"`
-	Bad         float64  `json:"bad"`
-	Aside       bool     `json:"aside"`
+	Queued      int      `json:"queued"` // attempts and control calls that wait for a connection
+	InFlight    int      `json:"in_flight"`
+	QueuedWork  float64  `json:"work_s"`
+	FailureRate float64  `json:"failure_rate"`
+	Ejected     bool     `json:"ejected"`
 	Report      float64  `json:"reported_inflight"`
 	Warm        []string `json:"warm"`
+
+	// Former keys, with the same values; they go in the next version.
+	DeprecatedTold  bool    `json:"told"`  // Deprecated: announced
+	DeprecatedOut   int     `json:"out"`   // Deprecated: in_flight
+	DeprecatedBad   float64 `json:"bad"`   // Deprecated: failure_rate
+	DeprecatedAside bool    `json:"aside"` // Deprecated: ejected
 }
 
-// HandStatus is one request in flight.
+// RequestStatus is a request in flight.
 type RequestStatus struct {
-	Request  string  `json:"inference"`
+	ID       string  `json:"request_id"`
 	Model    string  `json:"model"`
 	Group    string  `json:"group"`
 	Age      float64 `json:"age_s"`
-	Left     float64 `json:"left_s"`
-	Attempts int     `json:"forwards"`
-	Out      int     `json:"out"`
-	Why      string  `json:"why"`
-	At       string  `json:"at,omitempty"`
+	TimeLeft float64 `json:"left_s"`
+	Attempts int     `json:"attempts"`
+	InFlight int     `json:"in_flight"` // attempts
+	State    string  `json:"why"`
+	Worker   string  `json:"at,omitempty"`
+
+	// Former keys, with the same values; they go in the next version.
+	DeprecatedInference string `json:"inference"` // Deprecated: request_id
+	DeprecatedForwards  int    `json:"forwards"`  // Deprecated: attempts
+	DeprecatedOut       int    `json:"out"`       // Deprecated: in_flight
 }
 
-// inspector is what a module offers where it can be looked into.
+// inspector is implemented by control modules that can be inspected.
 type inspector interface {
-	View(most int) ([]control.WorkerView, []control.RequestView)
+	View(maxRequests int) ([]control.WorkerView, []control.RequestView)
 }
 
-// Status takes a snapshot. On the loop.
+// Status returns a snapshot.
 func (g *Gateway) Status() Status {
-	s := Status{Name: g.cfg.Name, Now: g.Loop.Now(), Stopping: g.stopping, Crash: g.exitStatus.PanicMessage, Version: g.Members.Version,
-		Taken: g.lastSeq, InHand: g.inFlight, Connections: g.Loop.Stats.Connections.Load(), Memory: g.clients.BufferedBytes(),
-		Workers: []WorkerStatus{}, Hand: []RequestStatus{}}
-	views := map[control.WorkerID]control.WorkerView{}
-	var hand []control.RequestView
-	if v, ok := g.module.(inspector); ok && g.module != nil {
-		var list []control.WorkerView
-		g.callModule(func() { list, hand = v.View(maxListedRequests) })
-		for _, w := range list {
-			views[w.ID] = w
+	var workers []control.WorkerView
+	var requests []control.RequestView
+	g.callModule(func(module control.Module) {
+		if m, ok := module.(inspector); ok {
+			workers, requests = m.View(maxListedRequests)
 		}
+	})
+	s := Status{
+		Name:             g.cfg.Name,
+		Now:              g.Loop.Now(),
+		Stopping:         g.stopping,
+		PanicMessage:     g.exitStatus.PanicMessage,
+		ListVersion:      g.Members.Version,
+		AcceptedRequests: g.lastSeq,
+		InFlight:         g.inFlight,
+		Connections:      g.Loop.Stats.Connections.Load(),
+		BufferedBytes:    g.clients.BufferedBytes(),
+		Workers:          g.workerStatuses(workers),
+		Requests:         g.requestStatuses(requests),
 	}
-	for _, r := range g.Members.All() {
-		w := g.workers[r.ID]
-		if w == nil {
-			continue
-		}
-		v := views[r.ID]
-		ws := WorkerStatus{Name: r.Name, Address: r.Addr.String(), State: r.StateName(), From: r.Source.String(), Version: r.Version,
-			Heard: r.ChangedAt, Told: w.announced, Connections: w.transport.ConnectionCount(), Queued: w.transport.QueuedCount(), Out: v.InFlight, Work: v.QueuedWork, Bad: v.FailureRate,
-			Aside: v.Ejected, Report: v.ReportedInFlight, Warm: []string{}}
-		if r.Epoch > 0 {
-			age := s.Now - r.StartedAt
-			ws.Age = &age
+	s.DeprecatedInHand = s.InFlight
+	s.DeprecatedBodiesHeldBytes = s.BufferedBytes
+	s.DeprecatedHand = s.Requests
+	return s
+}
+
+func (g *Gateway) workerStatuses(views []control.WorkerView) []WorkerStatus {
+	viewByID := map[control.WorkerID]control.WorkerView{}
+	for _, view := range views {
+		viewByID[view.ID] = view
+	}
+	statuses := []WorkerStatus{}
+	for _, member := range g.Members.All() {
+		w := g.workers[member.ID]
+		if w != nil {
+			statuses = append(statuses, g.workerStatus(w, viewByID[member.ID]))
 		}
-		for _, m := range v.WarmModels {
-			if k := g.models.byID[m]; k != nil {
-				ws.Warm = append(ws.Warm, k.Name)
-			}
+	}
+	return statuses
+}
+
+func (g *Gateway) workerStatus(w *Worker, view control.WorkerView) WorkerStatus {
+	s := WorkerStatus{
+		Name:        w.Name,
+		Address:     w.Addr.String(),
+		State:       w.StateName(),
+		Source:      w.Source.String(),
+		Version:     w.Version,
+		ChangedAt:   w.ChangedAt,
+		Announced:   w.announced,
+		Connections: w.transport.ConnectionCount(),
+		Queued:      w.transport.QueuedCount(),
+		InFlight:    view.InFlight,
+		QueuedWork:  view.QueuedWork,
+		FailureRate: view.FailureRate,
+		Ejected:     view.Ejected,
+		Report:      view.ReportedInFlight,
+		Warm:        []string{},
+	}
+	s.DeprecatedTold = s.Announced
+	s.DeprecatedOut = s.InFlight
+	s.DeprecatedBad = s.FailureRate
+	s.DeprecatedAside = s.Ejected
+	if w.Worker.Epoch > 0 {
+		age := g.Loop.Now() - w.Worker.StartedAt
+		s.Age = &age
+	}
+	for _, id := range view.WarmModels {
+		model := g.models.byID[id]
+		if model != nil {
+			s.Warm = append(s.Warm, model.Name)
 		}
-		s.Workers = append(s.Workers, ws)
 	}
-	for _, h := range hand {
-		q := g.findRequest(h.ID)
-		if q == nil {
+	return s
+}
+
+func (g *Gateway) requestStatuses(views []control.RequestView) []RequestStatus {
+	statuses := []RequestStatus{}
+	for _, view := range views {
+		r := g.findRequest(view.ID)
+		if r == nil {
 			continue
 		}
-		hs := RequestStatus{Request: string(g.appendRequestID(nil, q)), Model: q.model.Name, Group: q.group.Name, Age: h.Age, Left: h.TimeLeft,
-			Attempts: q.attemptCount, Out: h.InFlight, Why: h.State}
-		if w := g.workers[h.Worker]; w != nil {
-			hs.At = w.Name
+		s := RequestStatus{
+			ID:       string(g.appendRequestID(nil, r)),
+			Model:    r.model.Name,
+			Group:    r.group.Name,
+			Age:      view.Age,
+			TimeLeft: view.TimeLeft,
+			Attempts: r.attemptCount,
+			InFlight: view.InFlight,
+			State:    view.State,
 		}
-		s.Hand = append(s.Hand, hs)
+		s.DeprecatedInference = s.ID
+		s.DeprecatedForwards = s.Attempts
+		s.DeprecatedOut = s.InFlight
+		w := g.workers[view.Worker]
+		if w != nil {
+			s.Worker = w.Name
+		}
+		statuses = append(statuses, s)
 	}
-	return s
+	return statuses
 }
 
-// Ready tells whether there is a worker to attempt to. On the loop.
-func (g *Gateway) Ready() bool { return g.hasReadyWorker() }
-
-// logFinished writes one line for a final answer: each at debug level, one of so many at info level. The time split is
-// in seconds: held until its last attempt, connect until that was handed to a connection, worker until the answer.
-func (g *Gateway) logFinished(q *Request, a outcome, now float64) {
-	level := zerolog.DebugLevel
-	if n := g.cfg.Log.Sample; n > 0 && q.seq%uint64(n) == 0 {
-		level = zerolog.InfoLevel
-	}
-	if g.log.GetLevel() > level {
-		return
-	}
-	e := g.log.WithLevel(level).Str("inference", string(g.appendRequestID(nil, q))).Str("model", q.model.Name).
-		Str("group", q.group.Name).Stringer("answer", a).Int("forwards", q.attemptCount)
-	if q.tenant >= 0 {
-		e = e.Str("tenant", g.cfg.Tenants[q.tenant].Name)
+// Ready reports whether requests can be attempted: a worker is announced as ready, and the dispatcher is not stopping.
+func (g *Gateway) Ready() bool {
+	if g.stopping || g.module == nil {
+		return false
 	}
-	held := now - q.arrivedAt
-	if q.attemptCount > 0 {
-		f := q.attempts[q.attemptCount-1]
-		held = f.createdAt - q.arrivedAt
-		e = e.Str("worker", f.Worker.Name)
-		if at := f.Worker.transport.SentAt(f); at > 0 {
-			e = e.Float64("connect_s", at-f.createdAt).Float64("worker_s", now-at)
+	for _, w := range g.workers {
+		if w.announced && w.isReady() {
+			return true
 		}
 	}
-	e.Float64("held_s", held).Float64("total_s", now-q.arrivedAt).Msg("final answer")
+	return false
 }
--- a/internal/gateway/worker_response.go
+++ b/internal/gateway/worker_response.go
@@ -1,8 +1,8 @@
 package gateway
 
 import (
+	"bytes"
 	"errors"
-	"strconv"
 
 	"mastchute/control"
 	"mastchute/internal/eventloop"
@@ -10,130 +10,142 @@
 	"mastchute/internal/httpconn"
 )
 
-// What follows is pure: it reads what a worker said.
+// Pure functions that interpret HTTP/1.1 responses of workers.
 
-// responseMetadata is what the head of a worker's answer says beside the answer itself.
+const markPrefix = "mastchute-" // of the header fields that the gateway, workers and clients exchange about a request
+
+const maxDecimalLen = 24 // bytes of a decimal number in a header field
+
+// responseMetadata is what the head of a worker's response reports beside the response itself.
 type responseMetadata struct {
 	WorkerResponse
-	startEpoch  float64 // seconds since 1970; 0 for not told
-	memoryMB    float64 // MB, lanes and seconds of a load; 0 for not told
-	concurrency float64
-	loadSeconds float64
+	startEpoch  float64 // start of the worker's process, seconds since 1970; 0 if not reported
+	memoryMB    float64 // of the model; 0 if not reported
+	concurrency float64 // requests of the model that a replica serves at once; 0 if not reported
+	loadSeconds float64 // time to load the model; 0 if not reported
 }
 
-// classifyResponse reads the head of an answer. Only a 503 that says Mastchute-Ran: no is proof that nothing ran.
-func classifyResponse(h *httpcodec.Head, fields []string) (t responseMetadata) {
-	t.SameModelInFlight = -1
-	ranNot, miss := false, false
-	for i := range h.Headers {
-		n, v := h.Headers[i].Name, h.Headers[i].Value
-		if len(n) < 9 {
-			continue
-		}
-		if httpcodec.EqualsLower(n, "endpoint-load-metrics") {
-			t.LoadReportLen = parseLoadReport(v, fields, t.LoadReport[:])
-			continue
-		}
-		if n[0]|0x20 != 'm' || !httpcodec.EqualsLower(n[:min(10, len(n))], "mastchute-") {
+// rejection is what a response says about why the worker rejected a request.
+type rejection struct {
+	notRun         bool // the request did not run
+	modelNotLoaded bool
+}
+
+// classifyResponse interprets the head of a response. Only a 503 with Mastchute-Ran: no proves that the request did not
+// run.
+func classifyResponse(head *httpcodec.Head, reportFields []string) responseMetadata {
+	var metadata responseMetadata
+	var rejected rejection
+	metadata.SameModelInFlight = -1
+	for i := range head.Headers {
+		name, value := head.Headers[i].Name, head.Headers[i].Value
+		if httpcodec.EqualsLower(name, "endpoint-load-metrics") {
+			metadata.LoadReportLen = parseLoadReport(value, reportFields, metadata.LoadReport[:])
 			continue
 		}
-		switch rest := n[10:]; {
-		case httpcodec.EqualsLower(rest, "ran"):
-			ranNot = httpcodec.EqualsLower(v, "no")
-		case httpcodec.EqualsLower(rest, "why"):
-			miss = httpcodec.EqualsLower(v, "miss")
-		case httpcodec.EqualsLower(rest, "found"):
-			switch string(v) {
-			case "warm":
-				t.ModelState = control.ModelWarm
-			case "began":
-				t.ModelState = control.LoadStarted
-			case "awaited":
-				t.ModelState = control.LoadAwaited
-			case "failed":
-				t.ModelState = control.LoadFailed
-			}
-		case httpcodec.EqualsLower(rest, "start"):
-			t.startEpoch = parseDecimal(v)
-		case httpcodec.EqualsLower(rest, "crowd"):
-			t.SameModelInFlight = int(parseDecimal(v))
-		case httpcodec.EqualsLower(rest, "copies"):
-			t.Replicas = int(parseDecimal(v))
-		case httpcodec.EqualsLower(rest, "memory"):
-			t.memoryMB = parseDecimal(v)
-		case httpcodec.EqualsLower(rest, "lanes"):
-			t.concurrency = parseDecimal(v)
-		case httpcodec.EqualsLower(rest, "load"):
-			t.loadSeconds = parseDecimal(v)
+		if hasMarkPrefix(name) {
+			metadata.readMark(name[len(markPrefix):], value, &rejected)
 		}
 	}
 	switch {
-	case h.Status == 503 && ranNot && miss:
-		t.Result = control.ModelNotLoaded
-	case h.Status == 503 && ranNot:
-		t.Result = control.AtCapacity
-	case h.Status >= 500:
-		t.Result = control.WorkerError
+	case head.Status == 503 && rejected.notRun && rejected.modelNotLoaded:
+		metadata.Result = control.ModelNotLoaded
+	case head.Status == 503 && rejected.notRun:
+		metadata.Result = control.AtCapacity
+	case head.Status >= 500:
+		metadata.Result = control.WorkerError
 	default:
-		t.Result = control.Succeeded
+		metadata.Result = control.Succeeded
 	}
-	return t
+	return metadata
 }
 
-// parseDecimal reads a decimal that is not negative, of at most 9 digits on either side of the point; 0 for anything else.
-func parseDecimal(b []byte) float64 {
-	whole, part, scale, point := 0.0, 0.0, 1.0, false
-	if len(b) == 0 || len(b) > 24 {
+// hasMarkPrefix reports whether a header name is Mastchute- and something.
+func hasMarkPrefix(name []byte) bool {
+	return len(name) > len(markPrefix) && httpcodec.EqualsLower(name[:len(markPrefix)], markPrefix)
+}
+
+// readMark reads one header field; name comes without its prefix.
+func (m *responseMetadata) readMark(name, value []byte, rejected *rejection) {
+	switch {
+	case httpcodec.EqualsLower(name, "ran"):
+		rejected.notRun = httpcodec.EqualsLower(value, "no")
+	case httpcodec.EqualsLower(name, "why"):
+		rejected.modelNotLoaded = httpcodec.EqualsLower(value, "miss")
+	case httpcodec.EqualsLower(name, "found"):
+		m.readModelState(value)
+	case httpcodec.EqualsLower(name, "start"):
+		m.startEpoch = parseDecimal(value)
+	case httpcodec.EqualsLower(name, "crowd"):
+		m.SameModelInFlight = int(parseDecimal(value))
+	case httpcodec.EqualsLower(name, "copies"):
+		m.Replicas = int(parseDecimal(value))
+	case httpcodec.EqualsLower(name, "memory"):
+		m.memoryMB = parseDecimal(value)
+	case httpcodec.EqualsLower(name, "lanes"):
+		m.concurrency = parseDecimal(value)
+	case httpcodec.EqualsLower(name, "load"):
+		m.loadSeconds = parseDecimal(value)
+	}
+}
+
+// readModelState reads the state in which the request found its model. An unknown state changes nothing.
+func (m *responseMetadata) readModelState(value []byte) {
+	switch string(value) {
+	case "warm":
+		m.ModelState = control.ModelWarm
+	case "began":
+		m.ModelState = control.LoadStarted
+	case "awaited":
+		m.ModelState = control.LoadAwaited
+	case "failed":
+		m.ModelState = control.LoadFailed
+	}
+}
+
+// parseDecimal returns the value of a decimal number without sign or exponent, and 0 for anything else.
+func parseDecimal(text []byte) float64 {
+	if len(text) == 0 || len(text) > maxDecimalLen {
 		return 0
 	}
-	for _, c := range b {
+	whole, fraction, scale := 0.0, 0.0, 1.0
+	inFraction := false
+	for _, c := range text {
 		switch {
-		case c == '.' && !point:
-			point = true
+		case c == '.' && !inFraction:
+			inFraction = true
 		case c < '0' || c > '9':
 			return 0
-		case point:
+		case inFraction:
 			scale /= 10
-			part += float64(c-'0') * scale
+			fraction += float64(c-'0') * scale
 		default:
 			whole = whole*10 + float64(c-'0')
 		}
 	}
-	return whole + part
+	return whole + fraction
 }
 
-// parseLoadReport reads a load report in ORCA's text form: TEXT name=value, named_metrics.name=value, ... It returns the number
-// of fields, 0 unless every one was told.
-func parseLoadReport(b []byte, fields []string, out []float64) int {
-	if len(b) < 5 || string(b[:5]) != "TEXT " || len(fields) > len(out) {
+// parseLoadReport reads a load report in ORCA's text form, TEXT name=value, named_metrics.name=value, ..., into values in
+// the order of fields. It returns the number of fields, and 0 unless every one is reported.
+func parseLoadReport(report []byte, fields []string, values []float64) int {
+	const format = "TEXT "
+	if len(report) < len(format) || string(report[:len(format)]) != format || len(fields) > len(values) {
 		return 0
 	}
-	seen := 0
-	for b = b[5:]; len(b) > 0; {
-		i := 0
-		for i < len(b) && b[i] != ',' {
-			i++
-		}
-		pair := b[:i]
-		b = b[min(i+1, len(b)):]
-		for len(pair) > 0 && pair[0] == ' ' {
-			pair = pair[1:]
-		}
-		eq := 0
-		for eq < len(pair) && pair[eq] != '=' {
-			eq++
-		}
-		if eq == len(pair) {
+	seen := 0 // bit i: fields[i] has been read
+	rest := report[len(format):]
+	for len(rest) > 0 {
+		end := indexByte(rest, ',')
+		name, value, ok := splitMetric(rest[:end])
+		rest = rest[min(end+1, len(rest)):]
+		if !ok {
 			continue
 		}
-		name, value := pair[:eq], pair[eq+1:]
-		if len(name) > 14 && string(name[:14]) == "named_metrics." {
-			name = name[14:]
-		}
-		for k, f := range fields {
-			if string(name) == f && seen&(1<<k) == 0 {
-				out[k] = parseDecimal(value)
-				seen |= 1 << k
+		for i, field := range fields {
+			if string(name) == field && seen&(1<<i) == 0 {
+				values[i] = parseDecimal(value)
+				seen |= 1 << i
 			}
 		}
 	}
@@ -143,40 +155,42 @@
 	return len(fields)
 }
 
-// resultOfError tells what a call that ended without an answer proves: it never ran where no byte of it was written, and may
-// have run otherwise. A connection that was kept open and that the worker was closing is the classic trap: once a
-// byte was written to it, the attempt may have run.
-func resultOfError(err error, wrote bool) control.Result {
-	switch {
-	case wrote:
-		return control.ConnectionReset
-	case errors.Is(err, httpconn.ErrNotSent), errors.As(err, new(*eventloop.LocalError)): // it says nothing of the worker
-		return control.NotSent
-	default:
-		return control.ConnectFailed
+// splitMetric splits name=value, without leading spaces and without the prefix of named metrics.
+func splitMetric(pair []byte) (name, value []byte, ok bool) {
+	const namedPrefix = "named_metrics."
+	for len(pair) > 0 && pair[0] == ' ' {
+		pair = pair[1:]
+	}
+	equals := indexByte(pair, '=')
+	if equals == len(pair) {
+		return nil, nil, false
 	}
+	name = pair[:equals]
+	if len(name) > len(namedPrefix) && string(name[:len(namedPrefix)]) == namedPrefix {
+		name = name[len(namedPrefix):]
+	}
+	return name, pair[equals+1:], true
 }
 
-// parseModelPath splits /v2/models/NAME/VERB; ok is false for anything else. Percent escapes are not undone: a name with
-// one is another name.
-func parseModelPath(target []byte) (name, verb []byte, ok bool) {
-	const prefix = "/v2/models/"
-	for i, c := range target {
-		if c == '?' {
-			target = target[:i]
-			break
-		}
+// indexByte returns the index of the first c in b, len(b) if there is none.
+func indexByte(b []byte, c byte) int {
+	i := bytes.IndexByte(b, c)
+	if i < 0 {
+		return len(b)
 	}
-	if len(target) <= len(prefix) || string(target[:len(prefix)]) != prefix {
-		return nil, nil, false
+	return i
+}
+
+// resultOfError returns what a call that ended without a response proves: it did not run if no byte of it was written,
+// and may have run otherwise. That includes a kept connection that the worker was closing: once a byte was written to it,
+// the attempt may have run.
+func resultOfError(err error, anyByteSent bool) control.Result {
+	if anyByteSent {
+		return control.ConnectionReset
 	}
-	rest := target[len(prefix):]
-	for i, c := range rest {
-		if c == '/' {
-			return rest[:i], rest[i+1:], i > 0
-		}
+	var localErr *eventloop.LocalError
+	if errors.Is(err, httpconn.ErrNotSent) || errors.As(err, &localErr) { // it says nothing about the worker
+		return control.NotSent
 	}
-	return nil, nil, false
+	return control.ConnectFailed
 }
-
-func appendSeconds(b []byte, s float64) []byte { return strconv.AppendFloat(b, s, 'f', 3, 64) }
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -1,152 +1,194 @@
 package gateway
 
 import (
+	"net/netip"
+
 	"mastchute/control"
+	"mastchute/internal/config"
 	"mastchute/internal/membership"
 )
 
-// observeStart takes what a worker told of its start, seconds since 1970.
-func (g *Gateway) observeStart(w *Worker, epoch float64) {
-	if epoch <= 0 || epoch == w.Worker.Epoch || w.StartProvided {
-		return
-	}
-	now := g.Loop.Now()
-	if g.Members.ObserveStart(w.Worker, epoch, g.WallClock().ToMonotonic(epoch, now), now) && w.announced {
-		g.log.Info().Str("worker", w.Name).Float64("age_s", now-w.Worker.StartedAt).Msg("worker has a start not heard of: empty and cold")
-		g.notifyWorkers([]*Worker{w})
-	}
-}
+// The endpoint list: package membership merges its sources; here each worker gets its transport, is asked for its start,
+// and is announced to the control module.
 
-// WallClock relates the wall clock to the loop's.
-func (g *Gateway) WallClock() membership.WallClock {
-	atStart, now := g.Loop.WallClock()
-	return membership.WallClock{OffsetAtStart: atStart, OffsetNow: now}
+// MembershipEntries returns configured workers as entries of the endpoint list.
+func MembershipEntries(workers []config.Worker) ([]membership.Entry, error) {
+	var entries []membership.Entry
+	for _, w := range workers {
+		addr, err := netip.ParseAddrPort(w.Address)
+		if err != nil {
+			return nil, err
+		}
+		entry := membership.Entry{Name: w.Name, Addr: addr, Zone: w.Zone, Cell: w.Cell, Kind: w.Kind, Weight: w.Weight, State: control.Ready}
+		if entry.Weight == 0 {
+			entry.Weight = 1
+		}
+		switch w.State {
+		case "draining":
+			entry.State = control.Draining
+		case "gone":
+			entry.State = control.Gone
+		}
+		entries = append(entries, entry)
+	}
+	return entries, nil
 }
 
-// ReplaceWorkers sets what a source of the list of workers names, and tells the decisions what changed.
-func (g *Gateway) ReplaceWorkers(s membership.Source, list []membership.Entry) error {
-	changed, err := g.Members.Replace(s, list, g.Loop.Now())
+// ReplaceWorkers replaces all that a source lists, and notifies the control module of the changes. On an error nothing
+// changes.
+func (g *Gateway) ReplaceWorkers(source membership.Source, entries []membership.Entry) error {
+	changed, err := g.Members.Replace(source, entries, g.Loop.Now())
 	g.applyWorkerChanges(changed)
 	return err
 }
 
-// UpdateWorkers takes what a source of the list of workers says of some workers, and tells the decisions.
-func (g *Gateway) UpdateWorkers(s membership.Source, list []membership.Entry) error {
-	changed, err := g.Members.Update(s, list, g.Loop.Now())
+// UpdateWorkers updates some workers of a source, and notifies the control module of the changes. On an error nothing
+// changes.
+func (g *Gateway) UpdateWorkers(source membership.Source, entries []membership.Entry) error {
+	changed, err := g.Members.Update(source, entries, g.Loop.Now())
 	g.applyWorkerChanges(changed)
 	return err
 }
 
-// SetAdminState sets what the admin interface says of a worker, and tells the decisions.
-func (g *Gateway) SetAdminState(e membership.Entry) error {
-	changed, err := g.Members.SetAdminState(e, g.Loop.Now())
+// SetAdminState sets a worker's state as the admin interface requests it, and notifies the control module of the change.
+// On an error nothing changes.
+func (g *Gateway) SetAdminState(entry membership.Entry) error {
+	changed, err := g.Members.SetAdminState(entry, g.Loop.Now())
 	g.applyWorkerChanges(changed)
 	return err
 }
 
-// WorkerListFailed tells that a source of the list of workers could not be read; the list as it was stays in force.
+// WorkerListFailed records that a source of the endpoint list could not be read. The previous list stays in force.
 func (g *Gateway) WorkerListFailed(err error) {
 	g.log.Warn().Err(err).Msg("list of workers not read; the last one stays in force")
 	g.Metrics.listFailures.Inc()
 	g.beginBatch()
-	if g.module != nil && g.cfg.Roster.Discovery == "ask" {
-		g.callModule(func() { g.module.UpdateWorkers(control.ListFailed, g.Members.Version, nil) })
+	if g.discovery == control.DiscoverySubscribe {
+		g.callModule(func(module control.Module) { module.UpdateWorkers(control.ListFailed, g.Members.Version, nil) })
 	}
 }
 
-// WorkerEntrySkipped tells that a part of a source could not be read and was left out; the rest of it is in force.
+// WorkerEntrySkipped records that an entry of a source could not be read and was skipped. The other entries are in force.
 func (g *Gateway) WorkerEntrySkipped(err error) {
-	g.log.Warn().Err(err).Msg("an entry of the list of workers was left out; the others are in force")
+	g.log.Warn().Err(err).Msg("worker list entry skipped")
 	g.Metrics.listFailures.Inc()
 }
 
-func (g *Gateway) applyWorkerChanges(list []*membership.Worker) {
-	var tell []*Worker
-	for _, r := range list {
-		w := g.workers[r.ID]
-		if w == nil || w.transportAddr != r.Addr || r.StartProvided && w.transportEpoch != r.Epoch {
-			if w != nil { // it moved or started anew: another process, of which nothing is known
-				w.transport.Close()
-				w.transport.FailUnsent()
-				if w.startupProbeCall != nil {
-					w.transport.CancelControlCall(w.startupProbeCall)
-				}
-			} else {
-				w = &Worker{Worker: r, metrics: g.Metrics.forWorker(r.Name)}
-				g.workers[r.ID] = w
-			}
-			w.transportAddr, w.transportEpoch, w.transport = r.Addr, r.Epoch, g.clients.NewWorkerTransport(w)
+// applyWorkerChanges brings the transports in line with members of the list that have changed, and announces them.
+func (g *Gateway) applyWorkerChanges(changed []*membership.Worker) {
+	var announce []*Worker
+	for _, member := range changed {
+		w := g.workerFor(member)
+		g.log.Info().Str("worker", member.Name).Str("address", member.Addr.String()).Str("state", member.StateName()).
+			Uint32("version", member.Version).Stringer("from", member.Source).Msg("worker listed")
+		g.RecordEvent("worker_changed", member.StateName(), nil, w, w.StartedAt)
+		if member.State != control.Ready {
+			w.transport.FailUnsent() // what waits for a connection must not be sent any more
 		}
-		g.log.Info().Str("worker", r.Name).Str("address", r.Addr.String()).Str("state", r.StateName()).
-			Uint32("version", r.Version).Stringer("from", r.Source).Msg("worker listed")
-		g.RecordEvent("worker_listed", r.StateName(), nil, w, w.StartedAt)
-		if r.State != control.Ready {
-			w.transport.FailUnsent() // what waits for a connection there must not be sent now
-			if r.State == control.Gone {
-				w.transport.CloseIdle()
-			}
+		if member.State == control.Gone {
+			w.transport.CloseIdle()
 		}
-		if w.announced || r.StartProvided {
+		if w.announced || member.StartProvided {
 			w.announced = true
-			tell = append(tell, w)
+			announce = append(announce, w)
 		}
-		if r.StartProvided {
-			continue
+		needsProbe := !w.announced || member.AwaitingStartupProbe()
+		if needsProbe && !member.StartProvided && member.State == control.Ready {
+			g.sendStartupProbe(w)
 		}
-		if r.State == control.Ready && (!w.announced || r.AwaitingStartupProbe()) {
-			g.startStartupProbe(w)
+	}
+	g.notifyWorkers(announce)
+}
+
+// workerFor returns the gateway's record of a member of the list, with a transport to its current address and incarnation.
+func (g *Gateway) workerFor(member *membership.Worker) *Worker {
+	w := g.workers[member.ID]
+	if w != nil && w.transportAddr == member.Addr && !(member.StartProvided && w.transportEpoch != member.Epoch) {
+		return w
+	}
+	if w == nil {
+		w = &Worker{Worker: member, metrics: g.Metrics.forWorker(member.Name)}
+		g.workers[member.ID] = w
+	} else { // another process, of which nothing is known
+		w.transport.Close()
+		w.transport.FailUnsent()
+		if w.startupProbeCall != nil {
+			w.transport.CancelControlCall(w.startupProbeCall)
 		}
 	}
-	g.notifyWorkers(tell)
+	w.transportAddr = member.Addr
+	w.transportEpoch = member.Epoch
+	w.transport = g.clients.NewWorkerTransport(w)
+	return w
 }
 
-// startStartupProbe asks a worker for its start.
-func (g *Gateway) startStartupProbe(w *Worker) {
-	if w.startupProbeCall == nil && w.State == control.Ready {
-		w.BeginProbe()
-		w.startupProbeCall = g.allocateControlCall(CallStartupProbe, w, nil)
-		w.startupProbeCall.send(probeTimeout)
+// sendStartupProbe asks a ready worker for its start, unless it is being asked.
+func (g *Gateway) sendStartupProbe(w *Worker) {
+	if w.startupProbeCall != nil || w.State != control.Ready {
+		return
 	}
+	w.BeginProbe()
+	w.startupProbeCall = g.allocateControlCall(CallStartupProbe, w, nil)
+	g.sendControlCall(w.startupProbeCall, probeTimeout)
 }
 
-// finishStartupProbe tells the decisions of a worker once its start is known, or could not be learned; what did not answer is
-// asked again.
-func (g *Gateway) finishStartupProbe(w *Worker, ok bool) {
-	if again := w.ProbeFinished(ok, g.random.Float64()); again > 0 && w.State == control.Ready {
+// finishStartupProbe announces a worker once its start is known or could not be learned, and schedules another probe if
+// it did not respond.
+func (g *Gateway) finishStartupProbe(w *Worker, succeeded bool) {
+	retryAfter := w.ProbeFinished(succeeded, g.random.Float64())
+	if retryAfter > 0 && w.State == control.Ready {
 		if w.probeRetryTimer.Fire == nil {
-			w.probeRetryTimer.Fire = func() { g.startStartupProbe(w) }
+			w.probeRetryTimer.Fire = func() { g.sendStartupProbe(w) }
 		}
-		g.Loop.Start(&w.probeRetryTimer, again)
+		g.Loop.Start(&w.probeRetryTimer, retryAfter)
 	}
-	if held := g.Members.FinishStartupProbe(w.Worker); !w.announced || held {
+	wasWithheld := g.Members.FinishStartupProbe(w.Worker)
+	if !w.announced || wasWithheld {
 		w.announced = true
 		g.notifyWorkers([]*Worker{w})
 	}
 }
 
-func (g *Gateway) notifyWorkers(list []*Worker) {
-	if len(list) == 0 || !g.subscribed {
+// observeStart records the start time that a worker reports, in seconds since 1970. A restart makes it an empty worker.
+func (g *Gateway) observeStart(w *Worker, epoch float64) {
+	if epoch <= 0 || epoch == w.Worker.Epoch || w.StartProvided {
 		return
 	}
-	var lines []control.WorkerInfo
-	for _, w := range list {
-		lines = append(lines, w.Advertised())
+	now := g.Loop.Now()
+	startedAt := g.WallClock().ToMonotonic(epoch, now)
+	isRestart := g.Members.ObserveStart(w.Worker, epoch, startedAt, now)
+	if isRestart && w.announced {
+		g.log.Info().Str("worker", w.Name).Float64("age_s", now-w.Worker.StartedAt).Msg("worker restarted")
+		g.notifyWorkers([]*Worker{w})
 	}
-	g.beginBatch()
-	if g.module != nil {
-		g.callModule(func() { g.module.UpdateWorkers(control.ListDelta, g.Members.Version, lines) })
+}
+
+// WallClock returns the relation between the wall clock and the loop's clock.
+func (g *Gateway) WallClock() membership.WallClock {
+	atStart, now := g.Loop.WallClock()
+	return membership.WallClock{OffsetAtStart: atStart, OffsetNow: now}
+}
+
+// notifyWorkers notifies the control module of workers that have changed, if it has subscribed to the list.
+func (g *Gateway) notifyWorkers(workers []*Worker) {
+	if len(workers) == 0 || !g.listSubscribed {
+		return
+	}
+	var infos []control.WorkerInfo
+	for _, w := range workers {
+		infos = append(infos, w.Advertised())
 	}
+	g.deliver(func(module control.Module) { module.UpdateWorkers(control.ListDelta, g.Members.Version, infos) })
 }
 
+// sendWorkerList passes the whole list of announced workers to the control module.
 func (g *Gateway) sendWorkerList(kind control.WorkerListKind) {
-	var lines []control.WorkerInfo
-	for _, r := range g.Members.All() {
-		if w := g.workers[r.ID]; w != nil && w.announced {
-			lines = append(lines, w.Advertised())
+	var infos []control.WorkerInfo
+	for _, member := range g.Members.All() {
+		w := g.workers[member.ID]
+		if w != nil && w.announced {
+			infos = append(infos, w.Advertised())
 		}
 	}
-	g.beginBatch()
-	if g.module != nil {
-		g.callModule(func() { g.module.UpdateWorkers(kind, g.Members.Version, lines) })
-	}
+	g.deliver(func(module control.Module) { module.UpdateWorkers(kind, g.Members.Version, infos) })
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -56,8 +56,8 @@
 	return 0
 }
 
-// Request is what of a request bears on its attempts and its answer. Times are seconds of one monotonic clock.
-type Request struct {
+// RequestFacts is what of a request bears on its attempts and its answer. Times are seconds of one monotonic clock.
+type RequestFacts struct {
 	Answered     bool
 	Deadline     float64 // the end of the client's time
 	Effect       control.Effect
@@ -67,7 +67,7 @@
 }
 
 // CheckAttempt tells whether an attempt may be made at a worker, ready or not.
-func CheckAttempt(now float64, q Request, ready bool) Reason {
+func CheckAttempt(now float64, q RequestFacts, ready bool) Reason {
 	switch {
 	case q.Answered:
 		return AlreadyAnswered
@@ -89,7 +89,7 @@
 
 // CheckFirstByte tells whether the first byte of a message may go to the kernel: what holds for the attempt has to hold still,
 // and the deadline in it, set when it was written for the renewed-th time, has to be true still.
-func CheckFirstByte(now, written float64, renewed int, q Request, ready bool) Reason {
+func CheckFirstByte(now, written float64, renewed int, q RequestFacts, ready bool) Reason {
 	if r := CheckAttempt(now, q, ready); r != Allowed {
 		return r
 	}
@@ -112,7 +112,7 @@
 }
 
 // CheckShed tells whether a client may be told that trying again is harmless.
-func CheckShed(q Request) Reason {
+func CheckShed(q RequestFacts) Reason {
 	switch {
 	case q.Answered:
 		return AlreadyAnswered
