--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -28,11 +28,11 @@
 	}}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	w := newWorker(t, "w1", succeed)
-	r := newHarness(t, "limits: {connect_timeout: 2s}\n", nil, w)
-	r.on(func() { r.gateway.CloseIdleConnections(r.gateway.Members.All()[0].ID) })
+	h := newHarness(t, "limits: {connect_timeout: 2s}\n", nil, w)
+	h.on(func() { h.gateway.CloseIdleConnections(h.gateway.Members.All()[0].ID) })
 	sent := time.Now()
 	until.Store(sent.Add(500 * time.Millisecond).UnixNano())
-	if a := r.post("read-1", "Mastchute-Timeout: 2\r\n", "in"); a.outcome != "returned" {
+	if a := h.post("read-1", "Mastchute-Timeout: 2\r\n", "in"); a.outcome != "returned" {
 		t.Errorf("%+v", a)
 	}
 	for _, s := range w.received() {
@@ -57,41 +57,41 @@
 		return nil
 	}}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
-	r := newHarness(t, "limits: {connect_timeout: 30ms}\n", nil, newWorker(t, "w1", succeed))
-	r.on(func() { r.gateway.CloseIdleConnections(r.gateway.Members.All()[0].ID) })
+	h := newHarness(t, "limits: {connect_timeout: 30ms}\n", nil, newWorker(t, "w1", succeed))
+	h.on(func() { h.gateway.CloseIdleConnections(h.gateway.Members.All()[0].ID) })
 	fails.Store(true)
 	for range 5 {
-		if a := r.post("read-1", "", "in"); a.outcome != "shed" {
+		if a := h.post("read-1", "", "in"); a.outcome != "shed" {
 			t.Errorf("%+v", a)
 		}
 	}
-	if n := counterValue(r, "mastchute_forward_ends_total", "connect_failed"); n > 0 {
+	if n := h.counterValue("mastchute_forward_ends_total", "connect_failed"); n > 0 {
 		t.Errorf("%g attempts count against the worker", n)
 	}
 	fails.Store(false)
-	r.expect("read-1", 200, "returned")
+	h.expect("read-1", 200, "returned")
 }
 
 // Requests that cross a stop are answered: those unread in the kernel, and those of
 // connections that wait to be accepted.
 func TestStopReadsFirst(t *testing.T) {
-	r := newHarness(t, "", nil, newWorker(t, "w1", succeed))
-	rested := r.dial()
+	h := newHarness(t, "", nil, newWorker(t, "w1", succeed))
+	rested := h.dial()
 	br := bufio.NewReader(rested)
 	text := "POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\nin"
 	if a := exchange(rested, br, text); a.outcome != "returned" {
 		t.Fatalf("%+v", a)
 	}
 	fresh := []net.Conn{}
-	r.on(func() { // the loop looks at nothing meanwhile
+	h.on(func() { // the loop looks at nothing meanwhile
 		io.WriteString(rested, text)
 		for range 5 {
-			n := r.dial()
+			n := h.dial()
 			io.WriteString(n, text)
 			fresh = append(fresh, n)
 		}
 		time.Sleep(20 * time.Millisecond)
-		r.gateway.Stop(2)
+		h.gateway.Stop(2)
 	})
 	for i, conn := range append(fresh, rested) {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -114,8 +114,8 @@
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	names := map[string]bool{}
 	for range 3 {
-		r := newHarness(t, "", nil, newWorker(t, "w1", succeed))
-		r.on(func() { names[r.gateway.requestIDPrefix] = true })
+		h := newHarness(t, "", nil, newWorker(t, "w1", succeed))
+		h.on(func() { names[h.gateway.requestIDPrefix] = true })
 	}
 	if len(names) != 3 {
 		t.Errorf("%d names for 3 starts: %v", len(names), fmt.Sprint(names))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -24,8 +24,8 @@
 
 func TestReturnedAnswerGoesThrough(t *testing.T) {
 	w := newWorker(t, "w1", respond(200, "Content-Type: text/x\r\nX-Kept: 1\r\nConnection: keep-alive\r\nKeep-Alive: timeout=5\r\nendpoint-load-metrics: TEXT named_metrics.inflight=3, named_metrics.queue=1\r\n", "well"))
-	r := newHarness(t, "", nil, w)
-	a := r.post("read-1", "X-Mine: a\r\nConnection: X-Hop\r\nX-Hop: b\r\nMastchute-Dispatcher: forged\r\nMastchute-Timeout: 2\r\nMastchute-Tenant: north\r\n", "body")
+	h := newHarness(t, "", nil, w)
+	a := h.post("read-1", "X-Mine: a\r\nConnection: X-Hop\r\nX-Hop: b\r\nMastchute-Dispatcher: forged\r\nMastchute-Timeout: 2\r\nMastchute-Tenant: north\r\n", "body")
 	if a.status != 200 || a.outcome != "returned" || a.body != "well" || a.header.Get("X-Kept") != "1" || a.header.Get("Content-Type") != "text/x" ||
 		a.header.Get("Keep-Alive") != "" || a.header.Get("endpoint-load-metrics") != "" || a.header.Get("Mastchute-Start") != "" {
 		t.Errorf("%+v", a)
@@ -36,16 +36,16 @@
 		s[0].header.Get("Mastchute-Forward") != "0" || s[0].header.Get("Mastchute-Tenant") != "north" || s[0].header.Get("Idempotency-Key") != "" {
 		t.Errorf("%+v", s)
 	}
-	r.on(func() {
-		if v := r.gateway.Status(); v.Workers[0].Report <= 0 || v.InFlight != 0 || v.BufferedBytes != 0 || len(v.Workers[0].Warm) != 1 {
+	h.on(func() {
+		if v := h.gateway.Status(); v.Workers[0].Report <= 0 || v.InFlight != 0 || v.BufferedBytes != 0 || len(v.Workers[0].Warm) != 1 {
 			t.Errorf("%+v", v)
 		}
 	})
 }
 
 func TestConnectionsOfClients(t *testing.T) {
-	r := newHarness(t, "", nil, newWorker(t, "w1", func(w net.Conn, q *http.Request) { respond(200, "", q.Header.Get("N"))(w, q) }))
-	c := r.dial()
+	h := newHarness(t, "", nil, newWorker(t, "w1", func(w net.Conn, q *http.Request) { respond(200, "", q.Header.Get("N"))(w, q) }))
+	c := h.dial()
 	br := bufio.NewReader(c)
 	one := func(n int) string {
 		return fmt.Sprintf("POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nN: %d\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nT: 1\r\n\r\n", n)
@@ -80,7 +80,7 @@
 }
 
 func TestRefusalsTakeNothing(t *testing.T) {
-	r := newHarness(t, "limits: {body: 100B, memory: 64KiB}\n", nil, newWorker(t, "w1", succeed))
+	h := newHarness(t, "limits: {body: 100B, memory: 64KiB}\n", nil, newWorker(t, "w1", succeed))
 	post := func(path, headers, body string) string {
 		return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: g\r\n%sContent-Length: %d\r\n\r\n%s", path, headers, len(body), body)
 	}
@@ -96,55 +96,55 @@
 		{post("/v2/models/read-1/infer", "Mastchute-Tenant: east\r\n", "x"), 400},
 		{post("/v2/models/read-1/infer", "", strings.Repeat("x", 101)), 413},
 	} {
-		conn := r.dial()
+		conn := h.dial()
 		if a := exchange(conn, bufio.NewReader(conn), c.text); a.status != c.status || a.outcome != "" || a.header.Get("Content-Type") != httpconn.ProblemType {
 			t.Errorf("%q: %+v", c.text, a)
 		}
 	}
-	r.on(func() {
-		if r.gateway.lastSeq != 0 || r.gateway.inFlight != 0 || r.gateway.clients.BufferedBytes() != 0 {
-			t.Errorf("taken %d, in hand %d, %d bytes held", r.gateway.lastSeq, r.gateway.inFlight, r.gateway.clients.BufferedBytes())
+	h.on(func() {
+		if h.gateway.lastSeq != 0 || h.gateway.inFlight != 0 || h.gateway.clients.BufferedBytes() != 0 {
+			t.Errorf("taken %d, in hand %d, %d bytes held", h.gateway.lastSeq, h.gateway.inFlight, h.gateway.clients.BufferedBytes())
 		}
 	})
 }
 
 func TestMemoryForBodiesIsBounded(t *testing.T) {
 	w := newWorker(t, "w1", neverRespond)
-	r := newHarness(t, "limits: {body: 40kB, memory: 64KiB}\n", nil, w)
+	h := newHarness(t, "limits: {body: 40kB, memory: 64KiB}\n", nil, w)
 	big := strings.Repeat("x", 40_000)
-	c := r.dial()
+	c := h.dial()
 	fmt.Fprintf(c, "POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 40000\r\n\r\n%s", big)
-	r.until("the first is held", func() bool { return r.gateway.clients.BufferedBytes() == 40_000 })
-	if a := r.post("read-1", "", big); a.status != 503 || a.outcome != "" {
+	h.until("the first is held", func() bool { return h.gateway.clients.BufferedBytes() == 40_000 })
+	if a := h.post("read-1", "", big); a.status != 503 || a.outcome != "" {
 		t.Errorf("%+v", a)
 	}
 	c.Close()
-	r.until("its memory is handed back", func() bool { return r.gateway.clients.BufferedBytes() == 0 && r.gateway.inFlight == 0 })
+	h.until("its memory is handed back", func() bool { return h.gateway.clients.BufferedBytes() == 0 && h.gateway.inFlight == 0 })
 }
 
 // Rule 1: a worker that says nothing costs the client no more than its time; nothing is sent after.
 func TestSilenceIsAnsweredInTime(t *testing.T) {
 	w := newWorker(t, "w1", neverRespond)
-	r := newHarness(t, "", nil, w)
-	a := r.post("once-1", "Mastchute-Timeout: 0.3\r\n", "in")
+	h := newHarness(t, "", nil, w)
+	a := h.post("once-1", "Mastchute-Timeout: 0.3\r\n", "in")
 	if a.status != 504 || a.outcome != "failed" || a.duration > 320*time.Millisecond || a.duration < 200*time.Millisecond {
 		t.Errorf("%+v", a)
 	}
-	r.until("the forward is called off", func() bool { return w.closedCount() == 1 && r.gateway.inFlight == 0 })
-	if len(w.received()) != 1 || r.guardCount("late") != 0 {
-		t.Errorf("%d forwards; the host had to answer %g times", len(w.received()), r.guardCount("late"))
+	h.until("the forward is called off", func() bool { return w.closedCount() == 1 && h.gateway.inFlight == 0 })
+	if len(w.received()) != 1 || h.guardCount("late") != 0 {
+		t.Errorf("%d forwards; the host had to answer %g times", len(w.received()), h.guardCount("late"))
 	}
 }
 
 func TestClientLeaves(t *testing.T) {
 	w := newWorker(t, "w1", neverRespond)
-	r := newHarness(t, "", nil, w)
-	c := r.dial()
+	h := newHarness(t, "", nil, w)
+	c := h.dial()
 	io.WriteString(c, "POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\nin")
-	r.until("it is forwarded", func() bool { return len(w.received()) == 1 })
+	h.until("it is forwarded", func() bool { return len(w.received()) == 1 })
 	c.Close()
-	r.until("the forward is called off and forgotten", func() bool { return w.closedCount() == 1 && r.gateway.inFlight == 0 })
-	if n := counterValue(r, "mastchute_answers_total", "left"); n != 1 {
+	h.until("the forward is called off and forgotten", func() bool { return w.closedCount() == 1 && h.gateway.inFlight == 0 })
+	if n := h.counterValue("mastchute_answers_total", "left"); n != 1 {
 		t.Errorf("left counted %g times", n)
 	}
 }
@@ -179,8 +179,8 @@
 				do(w, q)
 			}
 			a, b := newWorker(t, "w1", script), newWorker(t, "w2", script)
-			r := newHarness(t, "", nil, a, b)
-			r.expect(c.model, c.status, c.answer)
+			h := newHarness(t, "", nil, a, b)
+			h.expect(c.model, c.status, c.answer)
 			if n := len(a.received()) + len(b.received()); n != map[bool]int{false: 1, true: 2}[c.second] {
 				t.Errorf("%d forwards", n)
 			}
@@ -193,13 +193,13 @@
 
 func TestNoConnectionProvesThatNothingRan(t *testing.T) {
 	a, b := newWorker(t, "w1", succeed), newWorker(t, "w2", succeed)
-	r := newHarness(t, "", nil, a, b)
+	h := newHarness(t, "", nil, a, b)
 	a.listener.Close()
-	r.on(func() { r.gateway.workers[r.gateway.Members.ByName("w1").ID].transport.CloseIdle() })
+	h.on(func() { h.gateway.workers[h.gateway.Members.ByName("w1").ID].transport.CloseIdle() })
 	for i := range 8 {
-		r.expect(fmt.Sprintf("once-%d", i), 200, "returned")
+		h.expect(fmt.Sprintf("once-%d", i), 200, "returned")
 	}
-	if len(a.received()) != 0 || counterValue(r, "mastchute_forward_ends_total", "connect_failed") == 0 {
+	if len(a.received()) != 0 || h.counterValue("mastchute_forward_ends_total", "connect_failed") == 0 {
 		t.Error("the dead worker was never tried, or was reached")
 	}
 }
@@ -208,9 +208,9 @@
 // so it may have run.
 func TestReusedConnectionThatWasClosing(t *testing.T) {
 	w := newWorker(t, "w1", succeed, resetConnection, succeed)
-	r := newHarness(t, "", nil, w)
-	r.expect("once-1", 200, "returned")
-	r.expect("once-1", 502, "failed")
+	h := newHarness(t, "", nil, w)
+	h.expect("once-1", 200, "returned")
+	h.expect("once-1", 502, "failed")
 	if len(w.received()) != 2 {
 		t.Errorf("%d forwards", len(w.received()))
 	}
@@ -219,8 +219,8 @@
 // Rule 2 for a deduped model group: outside its zone nothing is sent once an attempt may have run.
 func TestDedupedStaysInItsZone(t *testing.T) {
 	ws := []*scriptedWorker{newWorker(t, "w1", resetConnection), newWorker(t, "w2", resetConnection), newWorker(t, "w3", resetConnection), newWorker(t, "w4", resetConnection)}
-	r := newHarness(t, "forwards: {most: 6}\n", nil, ws...)
-	r.expect("write-1", 502, "failed")
+	h := newHarness(t, "forwards: {most: 6}\n", nil, ws...)
+	h.expect("write-1", 502, "failed")
 	zone1, zone2 := len(ws[0].received())+len(ws[1].received()), len(ws[2].received())+len(ws[3].received())
 	if zone1*zone2 != 0 || zone1+zone2 < 2 {
 		t.Errorf("%d forwards in one zone, %d in the other", zone1, zone2)
@@ -230,32 +230,32 @@
 // A repeat of a deduplicated request that waits for a connection until its window is over never leaves.
 func TestNoRepeatLeavesAfterItsWindow(t *testing.T) {
 	a := newWorker(t, "w1", resetConnection, succeed)
-	r := newHarness(t, "", nil, a)
+	h := newHarness(t, "", nil, a)
 	looked := 0
-	r.on(func() {
-		turn := r.gateway.Loop.AfterEvents
-		r.gateway.Loop.AfterEvents = func() {
+	h.on(func() {
+		turn := h.gateway.Loop.AfterEvents
+		h.gateway.Loop.AfterEvents = func() {
 			turn()
-			for _, q := range r.gateway.requests {
+			for _, q := range h.gateway.requests {
 				if !q.inUse {
 					continue
 				}
 				for _, f := range q.attempts[:q.attemptCount] {
 					if c, _ := f.TransportState.(*httpAttempt); f.Index > 0 && !f.finished && c.call.SentAt == 0 {
 						looked++
-						c.call.SendDeadline = r.gateway.Loop.Now() - 0.001 // the connection comes up a moment too late
+						c.call.SendDeadline = h.gateway.Loop.Now() - 0.001 // the connection comes up a moment too late
 						q.group.Window = config.S(0)                       // and so do all further ones
 					}
 				}
 			}
 		}
 	})
-	if got := r.post("write-1", "", "in"); got.outcome == "returned" || got.err != nil {
+	if got := h.post("write-1", "", "in"); got.outcome == "returned" || got.err != nil {
 		t.Errorf("%+v", got)
 	}
-	r.on(func() {
+	h.on(func() {
 		if n := len(a.received()); n != 1 || looked == 0 {
-			t.Errorf("%d forwards left, %d repeats were looked at", n, looked)
+			t.Errorf("%d forwards left, %d repeats were checked", n, looked)
 		}
 	})
 }
@@ -281,24 +281,24 @@
 	slow := workerAction(func(w net.Conn, q *http.Request) { time.Sleep(300 * time.Millisecond); succeed(w, q) })
 	a := newWorker(t, "w1", slow)
 	b := newWorker(t, "w2", succeed)
-	r := newHarness(t, "limits: {worker_connections: 1}\n", nil, a)
-	r.expect("read-1", 200, "returned") // warm, over one kept connection
+	h := newHarness(t, "limits: {worker_connections: 1}\n", nil, a)
+	h.expect("read-1", 200, "returned") // warm, over one kept connection
 	var wg sync.WaitGroup
 	for range 5 {
 		wg.Add(1)
-		go func() { defer wg.Done(); r.expect("read-1", 200, "returned") }()
+		go func() { defer wg.Done(); h.expect("read-1", 200, "returned") }()
 	}
-	r.until("four wait for the connection", func() bool {
-		return len(a.received()) == 2 && r.gateway.workers[r.gateway.Members.ByName("w1").ID].transport.QueuedCount() == 4
+	h.until("four wait for the connection", func() bool {
+		return len(a.received()) == 2 && h.gateway.workers[h.gateway.Members.ByName("w1").ID].transport.QueuedCount() == 4
 	})
-	r.on(func() {
-		if err := r.gateway.SetAdminState(membership.Entry{Name: "w2", Addr: listenAddr(b), State: control.Ready, Weight: 1}); err != nil {
+	h.on(func() {
+		if err := h.gateway.SetAdminState(membership.Entry{Name: "w2", Addr: b.addr(), State: control.Ready, Weight: 1}); err != nil {
 			t.Error(err)
 		}
 	})
-	r.until("w2 is told of", func() bool { return r.gateway.workers[r.gateway.Members.ByName("w2").ID].announced })
-	r.on(func() {
-		if err := r.gateway.SetAdminState(membership.Entry{Name: "w1", State: control.Draining}); err != nil {
+	h.until("w2 is told of", func() bool { return h.gateway.workers[h.gateway.Members.ByName("w2").ID].announced })
+	h.on(func() {
+		if err := h.gateway.SetAdminState(membership.Entry{Name: "w1", State: control.Draining}); err != nil {
 			t.Error(err)
 		}
 	})
@@ -311,12 +311,12 @@
 // Rule 5, and the path of a miss: one load order, within the ration, then the attempt again.
 func TestMissOrdersALoad(t *testing.T) {
 	w := newWorker(t, "w1", rejectModelNotLoaded, respond(200, "Mastchute-Copies: 1\r\n", ""), succeed, rejectModelNotLoaded)
-	r := newHarness(t, "loads: {on_miss: miss, window: 60s, few: 1, share: 0}\n", nil, w)
-	r.expect("read-1", 200, "returned")
+	h := newHarness(t, "loads: {on_miss: miss, window: 60s, few: 1, share: 0}\n", nil, w)
+	h.expect("read-1", 200, "returned")
 	if got := paths(w.received()); got != "/v2/models/read-1/infer /v2/repository/models/read-1/load /v2/models/read-1/infer" {
 		t.Errorf("%s", got)
 	}
-	r.expect("read-2", 503, "shed") // the ration is used up
+	h.expect("read-2", 503, "shed") // the ration is used up
 	if n := strings.Count(paths(w.received()), "/load"); n != 1 {
 		t.Errorf("%d load orders, 1 allowed", n)
 	}
@@ -328,11 +328,11 @@
 	w := newWorker(t, "w1", succeed, func(c net.Conn, _ *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 X\r\nMastchute-Start: %.3f\r\nMastchute-Found: began\r\nContent-Length: 0\r\n\r\n", now)
 	})
-	r := newHarness(t, "", nil, w)
-	r.expect("read-2", 200, "returned")
-	r.expect("read-1", 200, "returned")
-	r.on(func() { // what the process before held is forgotten, what the new one answered is not
-		v := r.gateway.Status().Workers[0]
+	h := newHarness(t, "", nil, w)
+	h.expect("read-2", 200, "returned")
+	h.expect("read-1", 200, "returned")
+	h.on(func() { // what the process before held is forgotten, what the new one answered is not
+		v := h.gateway.Status().Workers[0]
 		if v.Age == nil || *v.Age > 60 || fmt.Sprint(v.Warm) != "[read-1]" {
 			t.Errorf("%+v", v)
 		}
@@ -344,15 +344,15 @@
 func TestReturningWorkerIsGreeted(t *testing.T) {
 	for _, how := range []string{"ready again", "connections lost"} {
 		w := newWorker(t, "w1", succeed)
-		r := newHarness(t, "", nil, w)
-		r.expect("read-1", 200, "returned")
+		h := newHarness(t, "", nil, w)
+		h.expect("read-1", 200, "returned")
 		asked := make(chan net.Conn, 10)
 		w.mu.Lock()
 		w.probeAction = func(c net.Conn, _ *http.Request) { asked <- c }
 		w.mu.Unlock()
 		if how == "ready again" {
 			for _, s := range []control.WorkerState{control.Draining, control.Ready} {
-				r.on(func() { r.gateway.SetAdminState(membership.Entry{Name: "w1", State: s}) })
+				h.on(func() { h.gateway.SetAdminState(membership.Entry{Name: "w1", State: s}) })
 			}
 		} else {
 			w.mu.Lock()
@@ -362,16 +362,16 @@
 			w.mu.Unlock()
 		}
 		c := <-asked
-		r.on(func() {
-			if l := r.gateway.Members.ByName("w1").Advertised(); how == "ready again" && l.State != control.Draining {
+		h.on(func() {
+			if l := h.gateway.Members.ByName("w1").Advertised(); how == "ready again" && l.State != control.Draining {
 				t.Errorf("%s: told as %+v before it answered", how, l)
 			}
 		})
 		c.Close() // no answer: it is asked again
 		c = <-asked
 		respond(200, "", "")(c, nil)
-		r.until(how+": it is ready", func() bool { return r.gateway.Members.ByName("w1").Advertised().State == control.Ready })
-		r.expect("read-1", 200, "returned")
+		h.until(how+": it is ready", func() bool { return h.gateway.Members.ByName("w1").Advertised().State == control.Ready })
+		h.expect("read-1", 200, "returned")
 	}
 }
 
@@ -391,11 +391,11 @@
 			}
 			io.WriteString(c, "0\r\n\r\n")
 		})
-		r := newHarness(t, "limits: {answer: 64KiB}\n", nil, w)
-		c := r.dial()
+		h := newHarness(t, "limits: {answer: 64KiB}\n", nil, w)
+		c := h.dial()
 		io.WriteString(c, "POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\nin")
-		r.until("the answer streams and is held back", func() bool {
-			for _, q := range r.gateway.requests {
+		h.until("the answer streams and is held back", func() bool {
+			for _, q := range h.gateway.requests {
 				if !q.inUse {
 					continue
 				}
@@ -405,8 +405,8 @@
 			}
 			return false
 		})
-		r.on(func() {
-			for _, q := range r.gateway.requests {
+		h.on(func() {
+			for _, q := range h.gateway.requests {
 				if !q.inUse {
 					continue
 				}
@@ -423,7 +423,7 @@
 		if err != nil || !bytes.Equal(b, big) || resp.Header.Get("Mastchute-Answer") != "returned" {
 			t.Errorf("chunked %v: %d bytes, %v", chunked, len(b), err)
 		}
-		r.until("nothing is in hand", func() bool { return r.gateway.inFlight == 0 })
+		h.until("nothing is in hand", func() bool { return h.gateway.inFlight == 0 })
 	}
 }
 
@@ -433,11 +433,11 @@
 		c.Write(make([]byte, 200_000))
 		c.Close()
 	})
-	r := newHarness(t, "limits: {answer: 64KiB}\n", nil, w)
-	if a := r.post("read-1", "", "in"); a.err == nil {
+	h := newHarness(t, "limits: {answer: 64KiB}\n", nil, w)
+	if a := h.post("read-1", "", "in"); a.err == nil {
 		t.Errorf("a cut answer looks whole: %d bytes", len(a.body))
 	}
-	r.until("nothing is in hand", func() bool { return r.gateway.inFlight == 0 })
+	h.until("nothing is in hand", func() bool { return h.gateway.inFlight == 0 })
 	if len(w.received()) != 1 {
 		t.Errorf("%d forwards: once it streams, the answer is the client's", len(w.received()))
 	}
@@ -475,20 +475,20 @@
 			}()
 		}
 	}()
-	r := newHarness(t, "", nil, &scriptedWorker{name: "w1", listener: ln})
+	h := newHarness(t, "", nil, &scriptedWorker{name: "w1", listener: ln})
 	out := make(chan clientResponse, 1)
 	body := strings.Repeat("x", 8<<20)
-	go func() { out <- r.post("read-1", "", body) }()
+	go func() { out <- h.post("read-1", "", body) }()
 	var f *Attempt
-	r.until("the forward waits for the worker to read", func() bool {
-		for _, q := range r.gateway.requests {
+	h.until("the forward waits for the worker to read", func() bool {
+		for _, q := range h.gateway.requests {
 			if q.inUse && q.attemptCount > 0 && q.attempts[0].Worker.transport.SentAt(q.attempts[0]) > 0 {
 				f = q.attempts[0]
 			}
 		}
 		return f != nil && f.TransportState.(*httpAttempt).call.UnsentBytes() > 0
 	})
-	r.on(func() {
+	h.on(func() {
 		if n := f.TransportState.(*httpAttempt).call.UnsentBytes(); n > 256<<10 || f.TransportState.(*httpAttempt).call.FullySent() {
 			t.Errorf("%d bytes are held for the worker, whole %v", n, f.TransportState.(*httpAttempt).call.FullySent())
 		}
@@ -529,95 +529,95 @@
 }
 
 func TestPanicEndsTheDispatcherHonestly(t *testing.T) {
-	r := newHarness(t, "", newFaultyModule(func(*faultyModule) { panic("odd") }), newWorker(t, "w1", succeed))
-	if a := r.post("once-1", "", "in"); a.status != 502 || a.outcome != "failed" {
+	h := newHarness(t, "", newFaultyModule(func(*faultyModule) { panic("odd") }), newWorker(t, "w1", succeed))
+	if a := h.post("once-1", "", "in"); a.status != 502 || a.outcome != "failed" {
 		t.Errorf("%+v", a)
 	}
-	if err := <-r.done; err != nil {
+	if err := <-h.done; err != nil {
 		t.Error(err)
 	}
-	if r.gateway.ExitStatus().PanicMessage != "odd" {
-		t.Errorf("%+v", r.gateway.ExitStatus())
+	if h.gateway.ExitStatus().PanicMessage != "odd" {
+		t.Errorf("%+v", h.gateway.ExitStatus())
 	}
-	r.done <- nil // for the clean-up
+	h.done <- nil // for the clean-up
 }
 
 func TestHostAnswersWhereTheDecisionsDoNot(t *testing.T) {
-	r := newHarness(t, "", newFaultyModule(func(*faultyModule) {}), newWorker(t, "w1", succeed))
-	a := r.post("read-1", "Mastchute-Timeout: 0.2\r\n", "in")
-	if a.status != 504 || a.outcome != "failed" || r.guardCount("late") != 1 {
-		t.Errorf("%+v, guard %g", a, r.guardCount("late"))
+	h := newHarness(t, "", newFaultyModule(func(*faultyModule) {}), newWorker(t, "w1", succeed))
+	a := h.post("read-1", "Mastchute-Timeout: 0.2\r\n", "in")
+	if a.status != 504 || a.outcome != "failed" || h.guardCount("late") != 1 {
+		t.Errorf("%+v, guard %g", a, h.guardCount("late"))
 	}
 }
 
 func TestHostBarsWhatTheRulesForbid(t *testing.T) {
 	w := newWorker(t, "w1", succeed)
-	r := newHarness(t, "", newFaultyModule(func(b *faultyModule) {
+	h := newHarness(t, "", newFaultyModule(func(b *faultyModule) {
 		b.actions.Shed(b.requestID, 0.5)
 		b.actions.Shed(b.requestID, 0.5)                  // a second answer
 		b.actions.SendAttempt(b.requestID, b.workerID, 0) // and an attempt after it
 		b.requestID = 0
 	}), w)
-	a := r.post("read-1", "", "in")
+	a := h.post("read-1", "", "in")
 	if a.status != 503 || a.outcome != "shed" || a.header.Get("Retry-After") != "1" || a.header.Get("Mastchute-Retry-After") != "0.500" {
 		t.Errorf("%+v", a)
 	}
-	r.until("nothing is in hand", func() bool { return r.gateway.inFlight == 0 })
-	if len(w.received()) != 0 || r.guardCount("forward_barred")+r.guardCount("unknown") != 1 {
+	h.until("nothing is in hand", func() bool { return h.gateway.inFlight == 0 })
+	if len(w.received()) != 0 || h.guardCount("forward_barred")+h.guardCount("unknown") != 1 {
 		t.Errorf("%d forwards after the answer", len(w.received()))
 	}
 }
 
 func TestStopAnswersWhatIsInHand(t *testing.T) {
 	slow := workerAction(func(w net.Conn, q *http.Request) { time.Sleep(200 * time.Millisecond); succeed(w, q) })
-	r := newHarness(t, "", nil, newWorker(t, "w1", slow))
+	h := newHarness(t, "", nil, newWorker(t, "w1", slow))
 	out := make(chan clientResponse, 1)
-	go func() { out <- r.post("once-1", "", "in") }()
-	r.until("it is in hand", func() bool { return r.gateway.inFlight == 1 })
-	idle := r.dial()
-	r.on(func() {})
-	r.on(func() { r.gateway.Stop(5) })
+	go func() { out <- h.post("once-1", "", "in") }()
+	h.until("it is in hand", func() bool { return h.gateway.inFlight == 1 })
+	idle := h.dial()
+	h.on(func() {})
+	h.on(func() { h.gateway.Stop(5) })
 	if a := <-out; a.status != 200 || a.outcome != "returned" {
 		t.Errorf("%+v", a)
 	}
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle connection is not closed")
 	}
-	if err := <-r.done; err != nil || r.gateway.ExitStatus() != (ExitStatus{}) {
-		t.Errorf("%v %+v", err, r.gateway.ExitStatus())
+	if err := <-h.done; err != nil || h.gateway.ExitStatus() != (ExitStatus{}) {
+		t.Errorf("%v %+v", err, h.gateway.ExitStatus())
 	}
-	if c, err := net.Dial("tcp", r.gateway.Addr().String()); err == nil {
+	if c, err := net.Dial("tcp", h.gateway.Addr().String()); err == nil {
 		c.Close()
 		t.Error("it still accepts")
 	}
-	r.done <- nil
+	h.done <- nil
 }
 
 func TestStopAtOnceFailsWhatIsInHand(t *testing.T) {
-	r := newHarness(t, "", nil, newWorker(t, "w1", neverRespond))
+	h := newHarness(t, "", nil, newWorker(t, "w1", neverRespond))
 	out := make(chan clientResponse, 1)
-	go func() { out <- r.post("once-1", "", "in") }()
-	r.until("it is in hand", func() bool { return r.gateway.inFlight == 1 })
-	r.on(func() { r.gateway.Stop(30) })
-	r.on(func() { r.gateway.Stop(0) })
+	go func() { out <- h.post("once-1", "", "in") }()
+	h.until("it is in hand", func() bool { return h.gateway.inFlight == 1 })
+	h.on(func() { h.gateway.Stop(30) })
+	h.on(func() { h.gateway.Stop(0) })
 	if a := <-out; a.status != 502 || a.outcome != "failed" {
 		t.Errorf("%+v", a)
 	}
-	<-r.done
-	if r.gateway.ExitStatus().FailedRequests != 1 {
-		t.Errorf("%+v", r.gateway.ExitStatus())
+	<-h.done
+	if h.gateway.ExitStatus().FailedRequests != 1 {
+		t.Errorf("%+v", h.gateway.ExitStatus())
 	}
-	r.done <- nil
+	h.done <- nil
 }
 
 func TestWorkerMovesToAnotherAddress(t *testing.T) {
 	a, b := newWorker(t, "w1", succeed), newWorker(t, "w1", succeed)
-	r := newHarness(t, "", nil, a)
-	r.expect("read-1", 200, "returned")
-	r.on(func() {
-		r.gateway.ReplaceWorkers(membership.SourceConfig, []membership.Entry{{Name: "w1", Addr: listenAddr(b), State: control.Ready, Weight: 1}})
+	h := newHarness(t, "", nil, a)
+	h.expect("read-1", 200, "returned")
+	h.on(func() {
+		h.gateway.ReplaceWorkers(membership.SourceConfig, []membership.Entry{{Name: "w1", Addr: b.addr(), State: control.Ready, Weight: 1}})
 	})
-	r.expect("read-1", 200, "returned")
+	h.expect("read-1", 200, "returned")
 	if len(a.received()) != 1 || len(b.received()) != 1 {
 		t.Errorf("%d at the old address, %d at the new", len(a.received()), len(b.received()))
 	}
@@ -639,16 +639,16 @@
 	ended := make(chan error, 2)
 	go func() { ended <- worker.Run() }()
 	s := newWorker(t, "w0", succeed)
-	r := newHarness(t, "log: {sample: 0}\n", nil, s)
-	r.on(func() {
-		r.gateway.ReplaceWorkers(membership.SourceConfig, []membership.Entry{{Name: "w1", Addr: srv.Addr(), State: control.Ready, Weight: 1}})
+	h := newHarness(t, "log: {sample: 0}\n", nil, s)
+	h.on(func() {
+		h.gateway.ReplaceWorkers(membership.SourceConfig, []membership.Entry{{Name: "w1", Addr: srv.Addr(), State: control.Ready, Weight: 1}})
 	})
-	r.until("the echo worker is told of", func() bool { w := r.gateway.Members.ByName("w1"); return w != nil && r.gateway.workers[w.ID].announced })
+	h.until("the echo worker is told of", func() bool { w := h.gateway.Members.ByName("w1"); return w != nil && h.gateway.workers[w.ID].announced })
 	client, err := eventloop.New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &closedLoopClient{pool: httpconn.NewPool(client, r.gateway.Addr(), httpconn.PoolOptions{MaxConnections: 8}), warmUp: 4000, total: 24000}
+	c := &closedLoopClient{pool: httpconn.NewPool(client, h.gateway.Addr(), httpconn.PoolOptions{MaxConnections: 8}), warmUp: 4000, total: 24000}
 	c.head = []byte("POST /v2/models/read-1/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n")
 	c.stop = client.Stop
 	client.Defer(func() {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -24,35 +24,36 @@
 type harness struct {
 	t       *testing.T
 	gateway *Gateway
-	cfg     *config.Config
-	done    chan error
+	done    chan error // the end of the loop
 }
 
-// receivedRequest is one request as a worker's socket carried it.
+// receivedRequest is a request as a worker's socket carried it.
 type receivedRequest struct {
-	worker, path, body string
-	header             http.Header
-	at                 time.Time
+	path, body string
+	header     http.Header
+	at         time.Time
 }
 
 // workerAction is what a scripted worker does with a request on its connection.
-type workerAction func(w net.Conn, r *http.Request)
+type workerAction func(conn net.Conn, request *http.Request)
 
-// scriptedWorker is a worker that follows a script; the last act repeats.
+// scriptedWorker is a worker that follows a script; its last action repeats.
 type scriptedWorker struct {
-	name              string
-	listener          net.Listener
+	name     string
+	listener net.Listener
+
 	mu                sync.Mutex
 	actions           []workerAction
 	requests          []receivedRequest
 	connections       []net.Conn
-	closedConnections int          // connections that ended
-	probeAction       workerAction // what it does when it is asked for its start and load
+	closedConnections int
+	probeAction       workerAction // for probes; nil responds with the default start
 }
 
+// respond returns an action that sends a complete response; headers are lines.
 func respond(status int, headers, body string) workerAction {
-	return func(w net.Conn, r *http.Request) {
-		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nMastchute-Start: 1000.5\r\nMastchute-Found: warm\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
+	return func(conn net.Conn, _ *http.Request) {
+		fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nMastchute-Start: 1000.5\r\nMastchute-Found: warm\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	}
 }
 
@@ -61,86 +62,117 @@
 	rejectAtCapacity     = respond(503, "Mastchute-Ran: no\r\nMastchute-Why: full\r\n", "")
 	rejectModelNotLoaded = respond(503, "Mastchute-Ran: no\r\nMastchute-Why: miss\r\n", "")
 	failInternally       = respond(500, "", "")
-	rejectWithoutProof   = respond(503, "", "") // no proof
+	rejectWithoutProof   = respond(503, "", "")
 	neverRespond         = workerAction(func(net.Conn, *http.Request) {})
-	resetConnection      = workerAction(func(w net.Conn, _ *http.Request) { w.(*net.TCPConn).SetLinger(0); w.Close() })
-	truncateResponse     = workerAction(func(w net.Conn, _ *http.Request) {
-		io.WriteString(w, "HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\nabc")
-		w.(*net.TCPConn).CloseWrite()
+	resetConnection      = workerAction(func(conn net.Conn, _ *http.Request) {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
+	})
+	truncateResponse = workerAction(func(conn net.Conn, _ *http.Request) {
+		io.WriteString(conn, "HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\nabc")
+		conn.(*net.TCPConn).CloseWrite()
 	})
 )
 
-func newWorker(t *testing.T, name string, acts ...workerAction) *scriptedWorker {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// delayed returns an action that succeeds after a while.
+func delayed(delay time.Duration) workerAction {
+	return func(conn net.Conn, request *http.Request) {
+		time.Sleep(delay)
+		succeed(conn, request)
+	}
+}
+
+func newWorker(t *testing.T, name string, actions ...workerAction) *scriptedWorker {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedWorker{name: name, listener: ln, actions: acts}
+	w := &scriptedWorker{name: name, listener: listener, actions: actions}
 	t.Cleanup(func() {
-		ln.Close()
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for _, c := range s.connections {
-			c.Close()
-		}
+		listener.Close()
+		w.closeConnections()
 	})
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			s.connections = append(s.connections, c)
-			s.mu.Unlock()
-			go s.serve(c)
-		}
-	}()
-	return s
+	go w.accept()
+	return w
 }
 
-func (s *scriptedWorker) serve(c net.Conn) {
-	r := bufio.NewReader(c)
+func (w *scriptedWorker) accept() {
 	for {
-		q, err := http.ReadRequest(r)
+		conn, err := w.listener.Accept()
 		if err != nil {
-			s.mu.Lock()
-			s.closedConnections++
-			s.mu.Unlock()
 			return
 		}
-		body, _ := io.ReadAll(q.Body)
-		if q.URL.Path == "/v2/load" {
-			s.mu.Lock()
-			greet := s.probeAction
-			s.mu.Unlock()
-			if greet == nil {
-				greet = respond(200, "", "")
-			}
-			greet(c, q)
-			continue
+		w.mu.Lock()
+		w.connections = append(w.connections, conn)
+		w.mu.Unlock()
+		go w.serve(conn)
+	}
+}
+
+func (w *scriptedWorker) serve(conn net.Conn) {
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			w.mu.Lock()
+			w.closedConnections++
+			w.mu.Unlock()
+			return
 		}
-		s.mu.Lock()
-		s.requests = append(s.requests, receivedRequest{s.name, q.URL.Path, string(body), q.Header, time.Now()})
-		a := s.actions[0]
-		if len(s.actions) > 1 {
-			s.actions = s.actions[1:]
+		body, _ := io.ReadAll(request.Body)
+		action := w.record(request, string(body))
+		action(conn, request)
+	}
+}
+
+// record records a request unless it is a probe, and returns the action for it.
+func (w *scriptedWorker) record(request *http.Request, body string) workerAction {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if request.URL.Path == "/v2/load" {
+		if w.probeAction == nil {
+			return respond(200, "", "")
 		}
-		s.mu.Unlock()
-		a(c, q)
+		return w.probeAction
+	}
+	w.requests = append(w.requests, receivedRequest{request.URL.Path, body, request.Header, time.Now()})
+	action := w.actions[0]
+	if len(w.actions) > 1 {
+		w.actions = w.actions[1:]
+	}
+	return action
+}
+
+func (w *scriptedWorker) closeConnections() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, conn := range w.connections {
+		conn.Close()
 	}
 }
 
-func (s *scriptedWorker) received() []receivedRequest {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]receivedRequest(nil), s.requests...)
+func (w *scriptedWorker) setProbeAction(action workerAction) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.probeAction = action
+}
+
+// received returns the requests received so far, without probes.
+func (w *scriptedWorker) received() []receivedRequest {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return append([]receivedRequest(nil), w.requests...)
 }
 
-func (s *scriptedWorker) closedCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.closedConnections
+// closedCount returns how many connections the gateway has closed.
+func (w *scriptedWorker) closedCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.closedConnections
+}
+
+func (w *scriptedWorker) addr() netip.AddrPort {
+	return netip.MustParseAddrPort(w.listener.Addr().String())
 }
 
 const harnessSettings = `listen: 127.0.0.1:0
@@ -154,61 +186,83 @@
 models: [{name: "read-*", group: read, lanes: 8}, {name: "write-*", group: write, lanes: 8}, {name: "once-*", group: once, lanes: 8}]
 `
 
-// newHarness starts a gateway over the workers; more is added to its settings, start may replace the decisions.
-func newHarness(t *testing.T, more string, start NewModule, workers ...*scriptedWorker) *harness {
+// newHarness starts a gateway over the workers, two to a zone. settings are added to the common ones; newModule nil stands
+// for the real control module.
+func newHarness(t *testing.T, settings string, newModule NewModule, workers ...*scriptedWorker) *harness {
 	t.Helper()
-	text := harnessSettings + more + "workers:\n"
+	text := harnessSettings + settings + "workers:\n"
 	for i, w := range workers {
 		text += fmt.Sprintf("  - {name: %s, address: %q, zone: z%d}\n", w.name, w.listener.Addr(), i/2)
 	}
-	cfg, err := config.Parse("rig", []byte(text))
+	cfg, err := config.Parse("harness", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if start == nil {
-		start = func(seed uint64, s control.Settings, a control.Actions) control.Module {
-			return control.New(seed, s, a)
+	if newModule == nil {
+		newModule = func(seed uint64, settings control.Settings, actions control.Actions) control.Module {
+			return control.New(seed, settings, actions)
 		}
 	}
 	log := zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel)
-	g, err := NewHTTP(l, cfg, log, start)
+	g, err := NewHTTP(loop, cfg, log, newModule)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, gateway: g, cfg: cfg, done: make(chan error, 1)}
-	go func() { r.done <- l.Run() }()
+	h := &harness{t: t, gateway: g, done: make(chan error, 1)}
+	go func() { h.done <- loop.Run() }()
 	t.Cleanup(func() {
-		l.Stop()
-		if err := <-r.done; err != nil {
+		loop.Stop()
+		if err := <-h.done; err != nil {
 			t.Error(err)
 		}
 	})
-	r.until("all workers are told of", func() bool {
-		n := 0
-		for _, w := range g.workers {
-			if w.announced {
-				n++
-			}
+	h.until("all workers are announced", func() bool { return h.announcedCount() == len(workers) })
+	return h
+}
+
+// announcedCount returns how many workers the control module has been notified of. On the loop.
+func (h *harness) announcedCount() int {
+	count := 0
+	for _, w := range h.gateway.workers {
+		if w.announced {
+			count++
 		}
-		return n == len(workers)
-	})
-	return r
+	}
+	return count
+}
+
+// worker returns the gateway's record of a worker, nil if there is none. On the loop.
+func (h *harness) worker(name string) *Worker {
+	member := h.gateway.Members.ByName(name)
+	if member == nil {
+		return nil
+	}
+	return h.gateway.workers[member.ID]
 }
 
 // on runs f on the loop.
-func (r *harness) on(f func()) { r.t.Helper(); eventlooptest.On(r.t, r.gateway.Loop, f) }
+func (h *harness) on(f func()) {
+	h.t.Helper()
+	eventlooptest.On(h.t, h.gateway.Loop, f)
+}
+
+// until waits until a condition holds on the loop.
+func (h *harness) until(what string, condition func() bool) {
+	h.t.Helper()
+	eventlooptest.Until(h.t, h.gateway.Loop, what, condition)
+}
 
-// until waits for something that is to come about, as seen on the loop.
-func (r *harness) until(what string, f func() bool) {
-	r.t.Helper()
-	eventlooptest.Until(r.t, r.gateway.Loop, what, f)
+// untilIdle waits until no request is in flight.
+func (h *harness) untilIdle() {
+	h.t.Helper()
+	h.until("nothing is in flight", func() bool { return h.gateway.inFlight == 0 })
 }
 
-// clientResponse is an answer as the client's socket carried it.
+// clientResponse is a response as the client's socket carried it.
 type clientResponse struct {
 	status        int
 	outcome, body string
@@ -217,61 +271,69 @@
 	err           error
 }
 
-func (r *harness) dial() net.Conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.gateway.Addr().String())
+func (h *harness) dial() net.Conn {
+	h.t.Helper()
+	conn, err := net.Dial("tcp", h.gateway.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return c
+	h.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return conn
 }
 
-// post sends one request and reads its answer.
-func (r *harness) post(model, headers, body string) clientResponse {
-	r.t.Helper()
-	c := r.dial()
-	defer c.Close()
-	return exchange(c, bufio.NewReader(c), fmt.Sprintf("POST /v2/models/%s/infer HTTP/1.1\r\nHost: g\r\n%sContent-Length: %d\r\n\r\n%s", model, headers, len(body), body))
+// inferRequest returns the bytes of an inference request; headers are lines.
+func inferRequest(model, headers, body string) string {
+	return fmt.Sprintf("POST /v2/models/%s/infer HTTP/1.1\r\nHost: g\r\n%sContent-Length: %d\r\n\r\n%s", model, headers, len(body), body)
 }
 
-func exchange(c net.Conn, br *bufio.Reader, text string) (g clientResponse) {
+// post sends one request on a connection of its own and reads the response.
+func (h *harness) post(model, headers, body string) clientResponse {
+	h.t.Helper()
+	conn := h.dial()
+	defer conn.Close()
+	return exchange(conn, bufio.NewReader(conn), inferRequest(model, headers, body))
+}
+
+// exchange writes a request and reads the response.
+func exchange(conn net.Conn, reader *bufio.Reader, request string) clientResponse {
 	start := time.Now()
-	io.WriteString(c, text)
-	resp, err := http.ReadResponse(br, nil)
+	io.WriteString(conn, request)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return clientResponse{err: err}
 	}
-	b, err := io.ReadAll(resp.Body)
-	return clientResponse{resp.StatusCode, resp.Header.Get("Mastchute-Answer"), string(b), resp.Header, time.Since(start), err}
+	body, err := io.ReadAll(response.Body)
+	return clientResponse{response.StatusCode, response.Header.Get("Mastchute-Answer"), string(body), response.Header, time.Since(start), err}
 }
 
-// expect asks and compares status and answer.
-func (r *harness) expect(model string, status int, answer string) clientResponse {
-	r.t.Helper()
-	a := r.post(model, "", "in")
-	if a.err != nil || a.status != status || a.outcome != answer {
-		r.t.Errorf("%s: %d %q %q %v, want %d %q", model, a.status, a.outcome, a.body, a.err, status, answer)
+// expect posts a request and compares the status and outcome of the response.
+func (h *harness) expect(model string, status int, outcome string) clientResponse {
+	h.t.Helper()
+	response := h.post(model, "", "in")
+	if response.err != nil || response.status != status || response.outcome != outcome {
+		h.t.Errorf("%s: %d %q %q %v, want %d %q", model, response.status, response.outcome, response.body, response.err, status, outcome)
 	}
-	return a
+	return response
 }
 
-func (r *harness) guardCount(which string) float64 {
-	return counterValue(r, "mastchute_guards_total", which)
+// guardCount returns how often a guard has acted.
+func (h *harness) guardCount(guard string) float64 {
+	return h.counterValue("mastchute_guards_total", guard)
 }
 
-func counterValue(r *harness, name, label string) float64 {
-	list, err := r.gateway.Metrics.Registry.Gather()
+// counterValue returns the sum of a metric's counters that have a label of a value.
+func (h *harness) counterValue(metric, label string) float64 {
+	families, err := h.gateway.Metrics.Registry.Gather()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	sum := 0.0
-	for _, f := range list {
-		if f.GetName() != name {
+	for _, family := range families {
+		if family.GetName() != metric {
 			continue
 		}
-		for _, m := range f.Metric {
+		for _, m := range family.Metric {
 			for _, l := range m.Label {
 				if l.GetValue() == label {
 					sum += m.Counter.GetValue()
@@ -284,14 +346,10 @@
 
 var anyLoopbackAddr = netip.MustParseAddrPort("127.0.0.1:0")
 
-func listenAddr(w *scriptedWorker) netip.AddrPort {
-	return netip.MustParseAddrPort(w.listener.Addr().String())
-}
-
-func paths(list []receivedRequest) string {
+func paths(requests []receivedRequest) string {
 	var out []string
-	for _, s := range list {
-		out = append(out, s.path)
+	for _, r := range requests {
+		out = append(out, r.path)
 	}
 	return strings.Join(out, " ")
 }
