--- a/internal/flightrecorder/flightrecorder.go
+++ b/internal/flightrecorder/flightrecorder.go
@@ -1,43 +1,42 @@
-// Package flightrecorder is a flight recorder: a ring of the latest state changes of requests, attempts, connections and
-// workers, each with its time and reason. Writing to it allocates nothing; it is dumped when something went wrong, or
-// on SIGUSR1. It belongs to one goroutine.
+// Package flightrecorder keeps the latest state changes of requests, attempts, connections and workers in a ring buffer,
+// each with its time and reason. Recording allocates nothing. The buffer is dumped to the log after a fault or on SIGUSR1.
 package flightrecorder
 
-// size is how many events are kept: some seconds of a busy dispatcher, in about 130 KB.
-const size = 2048
+// capacity is the number of events kept: some seconds of a busy dispatcher, in about 130 KB.
+const capacity = 2048
 
-// Event is one state change. The zero value of a field means that it does not apply.
+// Event is a state change. The zero value of a field means that it does not apply.
 type Event struct {
-	At      float64 // s of the loop's clock
+	At      float64 // seconds of the loop's clock
 	What    string  // a constant
-	Why     string  // a constant, or an error's text on a path that is not ordinary
+	Why     string  // a constant, or the text of an error outside of the ordinary path
 	Request uint64  // sequence number of the request in this process
-	Worker  uint32  // id of the worker
-	Value   float64 // a duration in s, or a count
+	Worker  uint32  // low bits of the worker's id
+	Value   float64 // a duration in seconds, or a count
 }
 
-// Ring keeps the latest events. The zero Ring is ready to use.
+// Ring is a ring buffer of the latest events. Its zero value is ready to use. It is not safe for concurrent use.
 type Ring struct {
-	events [size]Event
-	next   uint64
+	events   [capacity]Event
+	recorded uint64
 }
 
-// Add records an event.
+// Add records an event, in the place of the oldest one if the buffer is full.
 func (r *Ring) Add(e Event) {
-	r.events[r.next%size] = e
-	r.next++
+	r.events[r.recorded%capacity] = e
+	r.recorded++
 }
 
-// Count is how many events were recorded so far, those no longer kept included.
-func (r *Ring) Count() uint64 { return r.next }
+// Count returns the number of events recorded so far, including those no longer kept.
+func (r *Ring) Count() uint64 { return r.recorded }
 
-// Each calls f for the events kept, oldest first.
+// Each calls f for each kept event, the oldest first. The event is valid until the next Add.
 func (r *Ring) Each(f func(e *Event)) {
-	first := uint64(0)
-	if r.next > size {
-		first = r.next - size
+	oldest := uint64(0)
+	if r.recorded > capacity {
+		oldest = r.recorded - capacity
 	}
-	for i := first; i < r.next; i++ {
-		f(&r.events[i%size])
+	for i := oldest; i < r.recorded; i++ {
+		f(&r.events[i%capacity])
 	}
 }
--- a/internal/flightrecorder/flightrecorder_test.go
+++ b/internal/flightrecorder/flightrecorder_test.go
@@ -4,7 +4,7 @@
 
 func TestRingKeepsTheLatest(t *testing.T) {
 	var r Ring
-	for i := range size + 10 {
+	for i := range capacity + 10 {
 		r.Add(Event{Request: uint64(i)})
 	}
 	want := uint64(10)
@@ -14,7 +14,7 @@
 		}
 		want++
 	})
-	if want != size+10 || r.Count() != size+10 {
+	if want != capacity+10 || r.Count() != capacity+10 {
 		t.Errorf("ended at %d, count %d", want, r.Count())
 	}
 	if n := testing.AllocsPerRun(100, func() { r.Add(Event{What: "x", Why: "y"}) }); n != 0 {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -21,7 +21,7 @@
 	SourceFile
 	SourceAdmin
 	SourceChangeLog // the platform's change log
-	sources
+	sourceCount
 )
 
 func (s Source) String() string { return [...]string{"config", "file", "admin", "change log"}[s] }
@@ -54,30 +54,30 @@
 	Listed    bool    // some source names it still
 
 	StartupProbe
-	starts  starts
-	held    bool // ready again by the list, but not greeted since
-	said    [sources]Entry
-	named   [sources]bool
-	ruled   bool // the admin interface has spoken of its state
-	ruling  control.WorkerState
-	current control.WorkerInfo
+	startHistory  startHistory
+	withheld      bool // ready again by the list, but not greeted since
+	entries       [sourceCount]Entry
+	listedBy      [sourceCount]bool
+	hasAdminState bool // the admin interface has spoken of its state
+	adminState    control.WorkerState
+	info          control.WorkerInfo
 }
 
 // List is the list. Make it by New.
 type List struct {
 	Version uint32
 	byID    map[control.WorkerID]*Worker
-	order   []*Worker
-	id      func(string) control.WorkerID
-	zones   intern
-	cells   intern
-	kinds   intern
+	sorted  []*Worker
+	idOf    func(string) control.WorkerID
+	zones   nameIndex
+	cells   nameIndex
+	kinds   nameIndex
 }
 
-// intern numbers names in order of sight; 0 is the empty name.
-type intern map[string]int
+// nameIndex numbers names in order of sight; 0 is the empty name.
+type nameIndex map[string]int
 
-func (n intern) of(name string) int {
+func (n nameIndex) indexOf(name string) int {
 	if name == "" {
 		return 0
 	}
@@ -89,18 +89,18 @@
 
 // New makes an empty list; id tells the id of a name.
 func New(id func(string) control.WorkerID) *List {
-	return &List{byID: map[control.WorkerID]*Worker{}, id: id, zones: intern{}, cells: intern{}, kinds: intern{}}
+	return &List{byID: map[control.WorkerID]*Worker{}, idOf: id, zones: nameIndex{}, cells: nameIndex{}, kinds: nameIndex{}}
 }
 
 // All lists the workers, by name, those gone included.
-func (r *List) All() []*Worker { return r.order }
+func (r *List) All() []*Worker { return r.sorted }
 
 // ByID returns a worker by id, nil if there is none.
 func (r *List) ByID(id control.WorkerID) *Worker { return r.byID[id] }
 
 // ByName returns a worker by name, nil if there is none.
 func (r *List) ByName(name string) *Worker {
-	if w := r.byID[r.id(name)]; w != nil && w.Name == name {
+	if w := r.byID[r.idOf(name)]; w != nil && w.Name == name {
 		return w
 	}
 	return nil
@@ -111,7 +111,7 @@
 func (r *List) Replace(s Source, list []Entry, now float64) ([]*Worker, error) {
 	seen := map[control.WorkerID]string{}
 	for _, e := range list {
-		id := r.id(e.Name)
+		id := r.idOf(e.Name)
 		if other, ok := seen[id]; ok {
 			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", other, e.Name)
 		}
@@ -120,34 +120,34 @@
 		}
 		seen[id] = e.Name
 	}
-	for _, w := range r.order {
+	for _, w := range r.sorted {
 		if _, ok := seen[w.ID]; !ok {
-			w.named[s] = false
+			w.listedBy[s] = false
 		}
 	}
 	for _, e := range list {
-		r.put(s, e)
+		r.setEntry(s, e)
 	}
-	return r.settle(now), nil
+	return r.mergeSources(now), nil
 }
 
 // Update sets what a source says of some workers; it goes on naming the others.
 func (r *List) Update(s Source, list []Entry, now float64) ([]*Worker, error) {
 	for _, e := range list {
-		if w := r.byID[r.id(e.Name)]; w != nil && w.Name != e.Name {
+		if w := r.byID[r.idOf(e.Name)]; w != nil && w.Name != e.Name {
 			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", w.Name, e.Name)
 		}
 	}
 	for _, e := range list {
-		r.put(s, e)
+		r.setEntry(s, e)
 	}
-	return r.settle(now), nil
+	return r.mergeSources(now), nil
 }
 
 // EvictGone drops the workers that have been gone since a time and that may be dropped.
 func (r *List) EvictGone(since float64, may func(*Worker) bool) {
-	r.order = slices.DeleteFunc(r.order, func(w *Worker) bool {
-		if w.State != control.Gone || w.ChangedAt >= since || w.ruled || !may(w) {
+	r.sorted = slices.DeleteFunc(r.sorted, func(w *Worker) bool {
+		if w.State != control.Gone || w.ChangedAt >= since || w.hasAdminState || !may(w) {
 			return false
 		}
 		delete(r.byID, w.ID)
@@ -155,15 +155,15 @@
 	})
 }
 
-func (r *List) put(s Source, e Entry) {
-	w := r.byID[r.id(e.Name)]
+func (r *List) setEntry(s Source, e Entry) {
+	w := r.byID[r.idOf(e.Name)]
 	if w == nil {
-		w = &Worker{Entry: e, ID: r.id(e.Name), StartedAt: math.Inf(-1)}
+		w = &Worker{Entry: e, ID: r.idOf(e.Name), StartedAt: math.Inf(-1)}
 		r.byID[w.ID] = w
-		i, _ := slices.BinarySearchFunc(r.order, w, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
-		r.order = slices.Insert(r.order, i, w)
+		i, _ := slices.BinarySearchFunc(r.sorted, w, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
+		r.sorted = slices.Insert(r.sorted, i, w)
 	}
-	w.said[s], w.named[s] = e, true
+	w.entries[s], w.listedBy[s] = e, true
 }
 
 // SetAdminState sets what the admin interface says of a worker's state; a worker it does not know yet needs an address.
@@ -173,68 +173,68 @@
 		if !e.Addr.IsValid() {
 			return nil, fmt.Errorf("worker %q is not listed: give its address", e.Name)
 		}
-		if other := r.byID[r.id(e.Name)]; other != nil && other.Name != e.Name {
+		if other := r.byID[r.idOf(e.Name)]; other != nil && other.Name != e.Name {
 			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", other.Name, e.Name)
 		}
 	}
 	if e.Addr.IsValid() {
-		if w != nil && w.Addr.IsValid() && w.Listed && w.Addr != e.Addr && !w.named[SourceAdmin] {
+		if w != nil && w.Addr.IsValid() && w.Listed && w.Addr != e.Addr && !w.listedBy[SourceAdmin] {
 			return nil, fmt.Errorf("worker %q is listed at %s: its address is changed where it is listed", e.Name, w.Addr)
 		}
 		state := e.State
 		e.State = control.Ready
-		r.put(SourceAdmin, e)
+		r.setEntry(SourceAdmin, e)
 		e.State = state
 		w = r.ByName(e.Name)
 	}
-	w.ruled, w.ruling = e.State != control.Ready, e.State
-	return r.settle(now), nil
+	w.hasAdminState, w.adminState = e.State != control.Ready, e.State
+	return r.mergeSources(now), nil
 }
 
 // ObserveStart notes the start that a worker tells of itself (seconds since 1970, and the same on the dispatcher's clock).
 // It returns true where that is news: an empty, cold worker under the old name.
 func (r *List) ObserveStart(w *Worker, epoch, start, now float64) bool {
-	if !w.hear(epoch, start, math.Inf(-1), now) {
+	if !w.recordStart(epoch, start, math.Inf(-1), now) {
 		return false // an answer that was under way, or nothing new
 	}
 	r.Version++
 	w.Version, w.ChangedAt = r.Version, now
-	w.current = r.info(w)
+	w.info = r.infoOf(w)
 	return true
 }
 
-// settle works out each worker's line, and returns those that changed.
-func (r *List) settle(now float64) []*Worker {
+// mergeSources works out each worker's line, and returns those that changed.
+func (r *List) mergeSources(now float64) []*Worker {
 	var changed []*Worker
-	for _, w := range r.order {
-		was, listed := w.current, w.Listed
+	for _, w := range r.sorted {
+		was, listed := w.info, w.Listed
 		known := w.Version > 0
 		w.Listed = false
 		state := control.Ready
 		addr := w.Addr
-		for s := SourceConfig; s < sources; s++ {
-			if !w.named[s] {
+		for s := SourceConfig; s < sourceCount; s++ {
+			if !w.listedBy[s] {
 				continue
 			}
-			if e := w.said[s]; !w.Listed {
+			if e := w.entries[s]; !w.Listed {
 				w.Listed, w.Source = true, s
 				w.Entry = e
 				state = e.State
-			} else if strict(e.State) > strict(state) {
+			} else if strictness(e.State) > strictness(state) {
 				state, w.Source = e.State, s
 			}
 		}
 		if !w.Listed {
 			state = control.Gone
-		} else if w.ruled && strict(w.ruling) > strict(state) {
-			state, w.Source = w.ruling, SourceAdmin
+		} else if w.hasAdminState && strictness(w.adminState) > strictness(state) {
+			state, w.Source = w.adminState, SourceAdmin
 		}
 		w.State = state
 		if w.StartProvided { // the latest start heard of holds: an event told late must not make it warm
-			w.hear(w.Entry.Epoch, w.Entry.StartedAt, w.Entry.StartNotBefore, now)
+			w.recordStart(w.Entry.Epoch, w.Entry.StartedAt, w.Entry.StartNotBefore, now)
 		}
-		w.held = !w.StartProvided && state == control.Ready && (w.held || known && was.State != control.Ready)
-		if w.current = r.info(w); w.current != was || w.Listed != listed || addr != w.Addr {
+		w.withheld = !w.StartProvided && state == control.Ready && (w.withheld || known && was.State != control.Ready)
+		if w.info = r.infoOf(w); w.info != was || w.Listed != listed || addr != w.Addr {
 			changed = append(changed, w)
 		}
 	}
@@ -247,7 +247,7 @@
 	return changed
 }
 
-func strict(s control.WorkerState) int {
+func strictness(s control.WorkerState) int {
 	switch s {
 	case control.Gone:
 		return 2
@@ -257,28 +257,28 @@
 	return 0
 }
 
-func (r *List) info(w *Worker) control.WorkerInfo {
-	return control.WorkerInfo{ID: w.ID, Zone: control.ZoneID(r.zones.of(w.Zone)), Kind: control.KindID(r.kinds.of(w.Kind)),
-		Cell: control.CellID(r.cells.of(w.Cell)), State: w.State, Weight: w.Weight, StartedAt: w.StartedAt}
+func (r *List) infoOf(w *Worker) control.WorkerInfo {
+	return control.WorkerInfo{ID: w.ID, Zone: control.ZoneID(r.zones.indexOf(w.Zone)), Kind: control.KindID(r.kinds.indexOf(w.Kind)),
+		Cell: control.CellID(r.cells.indexOf(w.Cell)), State: w.State, Weight: w.Weight, StartedAt: w.StartedAt}
 }
 
 // Advertised is what the decisions are told of a worker. One that is ready again stays draining for them until it was
 // greeted: what drained is often a process that ended, and each dispatcher would take the new one for the old, warm.
 func (w *Worker) Advertised() control.WorkerInfo {
-	l := w.current
-	if w.held {
+	l := w.info
+	if w.withheld {
 		l.State = control.Draining
 	}
 	return l
 }
 
 // AwaitingStartupProbe tells whether a worker is ready again and has yet to be greeted.
-func (w *Worker) AwaitingStartupProbe() bool { return w.held }
+func (w *Worker) AwaitingStartupProbe() bool { return w.withheld }
 
 // FinishStartupProbe notes that a worker was asked for its start, whether it answered or not, and tells whether its line changed.
 func (r *List) FinishStartupProbe(w *Worker) bool {
-	was := w.held
-	w.held = false
+	was := w.withheld
+	w.withheld = false
 	return was
 }
 
@@ -286,22 +286,22 @@
 // process ended, and again until it answers. It asks at most once for what was sent since it asked last, so that
 // workers which close idle connections are not asked for ever.
 type StartupProbe struct {
-	asking bool
-	sent   bool // something was sent since it was asked last
-	gap    float64
+	pending        bool
+	sentSinceProbe bool // something was sent since it was asked last
+	backoff        float64
 }
 
 const (
-	greetFirst = 0.1 // s after a greeting without an answer until the next: a restart takes longer
-	greetMost  = 2.0 // s, the most between two: cold workers warm up over seconds
+	minProbeBackoff = 0.1 // s after a greeting without an answer until the next: a restart takes longer
+	maxProbeBackoff = 2.0 // s, the most between two: cold workers warm up over seconds
 )
 
 // MarkSent notes that an attempt or an order goes out.
-func (g *StartupProbe) MarkSent() { g.sent = true }
+func (g *StartupProbe) MarkSent() { g.sentSinceProbe = true }
 
 // ConnectionLost notes that a connection ended from the worker's side, and tells whether to ask it now.
 func (g *StartupProbe) ConnectionLost() bool {
-	ask := g.sent && !g.asking
+	ask := g.sentSinceProbe && !g.pending
 	if ask {
 		g.BeginProbe()
 	}
@@ -309,20 +309,20 @@
 }
 
 // BeginProbe notes that it is being asked.
-func (g *StartupProbe) BeginProbe() { g.asking, g.sent = true, false }
+func (g *StartupProbe) BeginProbe() { g.pending, g.sentSinceProbe = true, false }
 
 // ProbePending tells whether an answer, or the next time to ask, is awaited.
-func (g *StartupProbe) ProbePending() bool { return g.asking }
+func (g *StartupProbe) ProbePending() bool { return g.pending }
 
 // ProbeFinished notes how a greeting ended. Where it had no answer it tells in how many seconds to ask again; chance is
 // 0 to 1, so that dispatchers do not ask in step.
 func (g *StartupProbe) ProbeFinished(ok bool, chance float64) (again float64) {
 	if ok {
-		g.asking, g.gap = false, 0
+		g.pending, g.backoff = false, 0
 		return 0
 	}
-	g.gap = math.Min(greetMost, math.Max(greetFirst, 2*g.gap))
-	return g.gap * (0.5 + chance)
+	g.backoff = math.Min(maxProbeBackoff, math.Max(minProbeBackoff, 2*g.backoff))
+	return g.backoff * (0.5 + chance)
 }
 
 // StateName is the state as operators read and write it.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -154,12 +154,12 @@
 				for s := range said {
 					if st, ok := said[s][n]; ok {
 						named = true
-						if strict(st) > strict(want) {
+						if strictness(st) > strictness(want) {
 							want = st
 						}
 					}
 				}
-				if st, ok := ruled[n]; ok && strict(st) > strict(want) {
+				if st, ok := ruled[n]; ok && strictness(st) > strictness(want) {
 					want = st
 				}
 				if !named {
@@ -191,13 +191,13 @@
 		last = g.ProbeFinished(false, 0.5)
 		sum += last
 	}
-	if last != greetMost || sum > 8*greetMost || g.ProbeFinished(false, 0) != greetMost/2 {
+	if last != maxProbeBackoff || sum > 8*maxProbeBackoff || g.ProbeFinished(false, 0) != maxProbeBackoff/2 {
 		t.Errorf("waits of %g in all, the last %g", sum, last)
 	}
 	if g.ProbeFinished(true, 0.5) != 0 || g.ConnectionLost() {
 		t.Error("answered, and asked again without anything sent")
 	}
-	if g.MarkSent(); !g.ConnectionLost() || g.ProbeFinished(false, 0.5) != greetFirst {
+	if g.MarkSent(); !g.ConnectionLost() || g.ProbeFinished(false, 0.5) != minProbeBackoff {
 		t.Error("a new loss begins anew")
 	}
 }
--- a/internal/membership/starts.go
+++ b/internal/membership/starts.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	startsKept = 4   // earlier starts of a worker that are remembered, so that an answer or event told late is no news
-	startSkew  = 0.5 // s by which the clocks of two machines may differ without one of them being wrong
+	maxEarlierStarts = 4   // earlier starts of a worker that are remembered, so that an answer or event told late is no news
+	maxClockSkew     = 0.5 // s by which the clocks of two machines may differ without one of them being wrong
 )
 
 // WallClock relates a wall clock, in seconds since 1970, to the dispatcher's own: what it told at the own clock's second 0,
@@ -27,44 +27,44 @@
 	return start
 }
 
-// starts is what was heard of a worker's starts.
-type starts struct {
-	known   bool    // one was told, be it as long ago
-	heard   float64 // when the latest news of it was
-	earlier [startsKept]float64
-	next    int
+// startHistory is what was heard of a worker's starts.
+type startHistory struct {
+	known        bool    // one was told, be it as long ago
+	observedAt   float64 // when the latest news of it was
+	earlier      [maxEarlierStarts]float64
+	earlierCount int
 }
 
-// hear takes a start that was told, in seconds since 1970 and on the dispatcher's clock, and tells whether it is another
+// recordStart takes a start that was told, in seconds since 1970 and on the dispatcher's clock, and tells whether it is another
 // one than those heard of. It can't have been before the one before was heard, nor before notBefore: a wall clock that
 // says so is wrong, and the start was just now for all that is known.
-func (w *Worker) hear(epoch, start, notBefore, now float64) bool {
-	s := &w.starts
-	if epoch <= 0 || epoch == w.Epoch || s.was(epoch) {
+func (w *Worker) recordStart(epoch, start, notBefore, now float64) bool {
+	s := &w.startHistory
+	if epoch <= 0 || epoch == w.Epoch || s.isEarlier(epoch) {
 		if !s.known {
-			s.known, s.heard = true, now
+			s.known, s.observedAt = true, now
 		}
 		return false
 	}
 	if w.Epoch != 0 {
-		s.earlier[s.next%startsKept] = w.Epoch
-		s.next++
+		s.earlier[s.earlierCount%maxEarlierStarts] = w.Epoch
+		s.earlierCount++
 	}
 	if s.known {
-		notBefore = math.Max(notBefore, s.heard)
+		notBefore = math.Max(notBefore, s.observedAt)
 	}
-	if start < notBefore-startSkew || start > now {
+	if start < notBefore-maxClockSkew || start > now {
 		start = now
 	}
 	start = math.Max(start, math.Min(notBefore, now))
 	w.Epoch, w.StartedAt = epoch, start
-	s.known, s.heard = true, now
+	s.known, s.observedAt = true, now
 	return true
 }
 
-// was tells whether a start was heard of before the latest.
-func (s *starts) was(epoch float64) bool {
-	for _, e := range s.earlier[:min(s.next, startsKept)] {
+// isEarlier tells whether a start was heard of before the latest.
+func (s *startHistory) isEarlier(epoch float64) bool {
+	for _, e := range s.earlier[:min(s.earlierCount, maxEarlierStarts)] {
 		if e == epoch {
 			return true
 		}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,7 +1,10 @@
-// Package rules is the one place that says whether an act towards a client or a worker is allowed by the rules now:
-// making an attempt, letting its first byte go, shedding, ordering a load, closing a connection, and which deadline to
-// pass on. It is pure: state and time go in, Allowed or a typed reason comes out. What is wise is decided by package
-// control; what is forbidden is forbidden here, whatever was decided.
+// Package rules decides whether the rules allow an act towards a client or a worker now: making an attempt, sending its
+// first byte or the rest of it, shedding a request, ordering a load, closing a connection; and which deadline to pass on.
+// docs/host.md names the rules by number.
+//
+// It is pure: state and time go in, Allowed or a typed reason comes out. Package control decides which act is best; what
+// is forbidden is forbidden here, whatever was decided. control has similar checks of its own, so that it does not choose
+// what would be refused; they are kept apart on purpose, as a fault there must not pass here too.
 package rules
 
 import (
@@ -11,39 +14,43 @@
 )
 
 const (
-	// MinDeadlineMillis is the shortest deadline, in ms, that is passed to a worker: zero would mean none to some.
+	// MinDeadlineMillis is the shortest deadline, in ms, that is passed to a worker: 0 would mean none to some.
 	MinDeadlineMillis = 1
-	// MaxDeadlineAge is how old, in seconds, a deadline may be when its message leaves: the rule allows 0.15.
+	// MaxDeadlineAge is how old, in seconds, an encoded deadline may be when its message is sent. Rule 1 allows 0.15.
 	MaxDeadlineAge = 0.05
-	// renewMost is how often a message is written anew for its age; then PartialAge holds, so that a dispatcher that is
-	// slow itself gets on.
-	renewMost = 3
-	// MaxPartialAge is how old a message may be when the rest of it leaves, in seconds; its head can't be changed any more.
+	// MaxPartialAge is how old, in seconds, a deadline may be when the rest of its message is sent: the part with the
+	// deadline has been sent and cannot be encoded again.
 	MaxPartialAge = 0.1
+
+	// maxRenewals is how often a message is encoded again because its deadline is stale. After that MaxPartialAge
+	// applies instead of MaxDeadlineAge, so that a dispatcher that is slow itself still makes progress.
+	maxRenewals = 3
 )
 
-// Reason says why an act is not allowed.
+// Reason is why an act is not allowed. Its text is a value of a metric label.
 type Reason uint8
 
+// The reasons, with the number of the rule that each stems from.
 const (
-	Allowed            Reason = iota
-	AlreadyAnswered           // the final answer is given, or the client has left
-	DeadlineExceeded          // the client's time is up
-	WorkerNotReady            // the worker drains or is gone
-	MayHaveRun                // an earlier attempt may have run, and this may not run twice
-	OutsideDedupScope         // the worker does not drop repeats of an earlier attempt that may have run
-	DedupWindowExpired        // workers no longer drop repeats
-	StaleDeadline             // it waited too long to leave as it is: its deadline is out of date
-	ResponseOwed              // the connection owes an answer
-	reasons
+	Allowed            Reason = iota // no rule forbids the act
+	AlreadyAnswered                  // rule 1: the final response is given, or the client has disconnected
+	DeadlineExceeded                 // rule 1: the client's deadline has passed
+	WorkerNotReady                   // rule 3: the worker is draining or gone
+	MayHaveRun                       // rule 2: an earlier attempt may have run, and the request must not run twice
+	OutsideDedupScope                // rule 2: the worker does not drop repeats of an earlier attempt that may have run
+	DedupWindowExpired               // rule 2: workers no longer drop repeats of the request
+	StaleDeadline                    // rule 1: the message waited so long that its encoded deadline is wrong
+	ResponseOwed                     // rule 1: a response is owed on the connection
+	reasonCount
 )
 
-var reasonNames = [reasons]string{"allowed", "answered", "time_up", "worker_not_ready", "may_have_run", "out_of_scope",
+var reasonNames = [reasonCount]string{"allowed", "answered", "time_up", "worker_not_ready", "may_have_run", "out_of_scope",
 	"window_over", "stale_deadline", "open_request"}
 
+// String returns the reason as metrics and logs show it.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Rule is the number of the rule that a reason speaks of, as docs/host.md counts them.
+// Rule returns the number of the rule that the reason stems from, 0 for Allowed.
 func (r Reason) Rule() int {
 	switch r {
 	case AlreadyAnswered, DeadlineExceeded, StaleDeadline, ResponseOwed:
@@ -56,89 +63,91 @@
 	return 0
 }
 
-// RequestFacts is what of a request bears on its attempts and its answer. Times are seconds of one monotonic clock.
+// RequestFacts are the facts about a request that bear on its attempts and its final response. Times are seconds of one
+// monotonic clock.
 type RequestFacts struct {
-	Answered     bool
-	Deadline     float64 // the end of the client's time
-	Effect       control.Effect
-	MayHaveRun   bool    // an earlier attempt is out, or may have run
-	DedupUntil   float64 // the end of the time in which workers drop repeats of it
-	InDedupScope bool    // the worker in question drops repeats of it
+	Answered     bool           // the final response is given, or the client has disconnected
+	Deadline     float64        // the client's
+	Effect       control.Effect // of running the request
+	MayHaveRun   bool           // an earlier attempt is in flight or may have run
+	DedupUntil   float64        // when workers cease to drop repeats of it
+	InDedupScope bool           // the worker in question drops repeats of it
 }
 
-// CheckAttempt tells whether an attempt may be made at a worker, ready or not.
-func CheckAttempt(now float64, q RequestFacts, ready bool) Reason {
+// CheckAttempt returns whether an attempt may be made at a worker.
+func CheckAttempt(now float64, request RequestFacts, workerReady bool) Reason {
 	switch {
-	case q.Answered:
+	case request.Answered:
 		return AlreadyAnswered
-	case !ready:
+	case !workerReady:
 		return WorkerNotReady
-	case now > q.Deadline:
+	case now > request.Deadline:
 		return DeadlineExceeded
-	case !q.MayHaveRun || q.Effect == control.Retriable:
+	case !request.MayHaveRun || request.Effect == control.Retriable:
 		return Allowed
-	case q.Effect == control.NonRetriable:
+	case request.Effect == control.NonRetriable:
 		return MayHaveRun
-	case !q.InDedupScope:
+	case !request.InDedupScope:
 		return OutsideDedupScope
-	case now > q.DedupUntil:
+	case now > request.DedupUntil:
 		return DedupWindowExpired
 	}
 	return Allowed
 }
 
-// CheckFirstByte tells whether the first byte of a message may go to the kernel: what holds for the attempt has to hold still,
-// and the deadline in it, set when it was written for the renewed-th time, has to be true still.
-func CheckFirstByte(now, written float64, renewed int, q RequestFacts, ready bool) Reason {
-	if r := CheckAttempt(now, q, ready); r != Allowed {
-		return r
+// CheckFirstByte returns whether the first byte of an attempt's message may be sent: the attempt must still be allowed,
+// and the deadline in the message, encoded at encodedAt after so many renewals, must not be stale.
+func CheckFirstByte(now, encodedAt float64, renewals int, request RequestFacts, workerReady bool) Reason {
+	reason := CheckAttempt(now, request, workerReady)
+	if reason != Allowed {
+		return reason
 	}
-	most := MaxDeadlineAge
-	if renewed >= renewMost {
-		most = MaxPartialAge
+	maxAge := MaxDeadlineAge
+	if renewals >= maxRenewals {
+		maxAge = MaxPartialAge
 	}
-	if now-written > most {
+	if now-encodedAt > maxAge {
 		return StaleDeadline
 	}
 	return Allowed
 }
 
-// CheckRemainder tells whether the rest of a message that has left in part may follow.
-func CheckRemainder(now, written float64) Reason {
-	if now-written > MaxPartialAge {
+// CheckRemainder returns whether the rest of a partly sent message may be sent.
+func CheckRemainder(now, encodedAt float64) Reason {
+	if now-encodedAt > MaxPartialAge {
 		return StaleDeadline
 	}
 	return Allowed
 }
 
-// CheckShed tells whether a client may be told that trying again is harmless.
-func CheckShed(q RequestFacts) Reason {
+// CheckShed returns whether a client may be told that a retry is harmless.
+func CheckShed(request RequestFacts) Reason {
 	switch {
-	case q.Answered:
+	case request.Answered:
 		return AlreadyAnswered
-	case q.MayHaveRun && q.Effect == control.NonRetriable:
+	case request.MayHaveRun && request.Effect == control.NonRetriable:
 		return MayHaveRun
 	}
 	return Allowed
 }
 
-// CheckLoad tells whether a load order may be sent to a worker.
-func CheckLoad(ready bool) Reason {
-	if !ready {
+// CheckLoad returns whether a load may be ordered at a worker.
+func CheckLoad(workerReady bool) Reason {
+	if !workerReady {
 		return WorkerNotReady
 	}
 	return Allowed
 }
 
-// CheckClose tells whether a client's connection that is not at fault may be closed: not while it is owed an answer.
-func CheckClose(open int) Reason {
-	if open > 0 {
+// CheckClose returns whether a client's connection may be closed, without a fault of the client's.
+func CheckClose(responsesOwed int) Reason {
+	if responsesOwed > 0 {
 		return ResponseOwed
 	}
 	return Allowed
 }
 
-// WorkerDeadlineMillis is the deadline to pass to a worker, in ms: what the client has left.
-func WorkerDeadlineMillis(now, notAfter float64) int64 {
-	return int64(math.Max(MinDeadlineMillis, math.Floor((notAfter-now)*1e3)))
+// WorkerDeadlineMillis returns the deadline to pass to a worker: the time that the client has left, in ms.
+func WorkerDeadlineMillis(now, clientDeadline float64) int64 {
+	return int64(math.Max(MinDeadlineMillis, math.Floor((clientDeadline-now)*1e3)))
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -58,7 +58,7 @@
 	if WorkerDeadlineMillis(1, 2.5) != 1500 || WorkerDeadlineMillis(3, 2) != MinDeadlineMillis {
 		t.Error("budget")
 	}
-	for r := Reason(1); r < reasons; r++ {
+	for r := Reason(1); r < reasonCount; r++ {
 		if r.Rule() == 0 || r.String() == "" {
 			t.Errorf("reason %d has rule %d, name %q", r, r.Rule(), r)
 		}
