--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,11 @@
-// Package membership keeps the list of workers: which sources name them, in which state, as of which version, and when
-// each change was heard. It is pure: no I/O, no clock. Where sources disagree the stricter word holds: gone before
-// draining before ready; what the admin interface said of a worker holds until it is taken back there.
+// Package membership keeps the endpoint list of workers: which sources list them, in which state, as of which version of
+// the list, and since when. It does no I/O and reads no clock.
+//
+// Where sources disagree the stricter state applies: gone before draining before ready. A state that the admin interface
+// sets applies until it is reset there.
+//
+// A List and its Workers belong to one goroutine. Times are seconds of the dispatcher's monotonic clock unless a comment
+// says otherwise.
 package membership
 
 import (
@@ -13,68 +18,105 @@
 	"mastchute/control"
 )
 
-// Source says who names a worker.
+// Source is where a worker is listed.
 type Source uint8
 
+// The sources. The first one that lists a worker determines everything but its state.
 const (
-	SourceConfig Source = iota
-	SourceFile
-	SourceAdmin
-	SourceChangeLog // the platform's change log
+	SourceConfig    Source = iota // the settings file
+	SourceFile                    // the worker list file
+	SourceAdmin                   // the admin interface
+	SourceChangeLog               // the platform's change log
 	sourceCount
 )
 
+// String returns the source as logs and /status show it.
 func (s Source) String() string { return [...]string{"config", "file", "admin", "change log"}[s] }
 
-// Entry is a worker as a source names it.
+// Entry is a worker as one source lists it.
 type Entry struct {
-	Name          string
-	Addr          netip.AddrPort
-	Zone          string
-	Cell          string
-	Kind          string
-	Weight        float64
-	State         control.WorkerState
-	StartProvided bool    // the source tells starts: Epoch, Start and NotBefore hold, and the worker is not asked
-	Epoch         float64 // of its latest start, seconds since 1970; 0 for long ago
-	StartedAt     float64 // the same on the dispatcher's clock, -Inf for long ago
-	// NotBefore is a time on the dispatcher's clock before which the source would have told this start already.
-	StartNotBefore float64
+	Name   string
+	Addr   netip.AddrPort
+	Zone   string
+	Cell   string
+	Kind   string
+	Weight float64
+	State  control.WorkerState
+
+	// StartProvided is set by a source that knows when workers started: then the fields below are valid, and the worker
+	// itself is not asked.
+	StartProvided  bool
+	Epoch          float64 // its latest start in seconds since 1970; 0 for long ago
+	StartedAt      float64 // the same on the dispatcher's clock; -Inf for long ago
+	StartNotBefore float64 // when the source would have listed an earlier start already
 }
 
-// Worker is a worker as all sources together have it.
+// Worker is a worker as all sources together list it. The exported fields are for reading only.
 type Worker struct {
 	Entry
 	ID        control.WorkerID
-	StartedAt float64 // s on the dispatcher's clock of its latest start heard of, -Inf for not told
-	Epoch     float64 // the same as the worker or a list tells it, seconds since 1970; 0 for not told
-	Version   uint32  // of the list when it last changed
-	ChangedAt float64 // s on the dispatcher's clock when that was
-	Source    Source  // the source whose word holds
-	Listed    bool    // some source names it still
+	StartedAt float64 // its latest known start; -Inf if none is known
+	Epoch     float64 // the same in seconds since 1970, as the worker or a source reported it; 0 if none is known
+	Version   uint32  // of the list when the worker last changed
+	ChangedAt float64
+	Source    Source // the one that determines its state
+	Listed    bool   // some source lists it
 
 	StartupProbe
-	startHistory  startHistory
-	withheld      bool // ready again by the list, but not greeted since
-	entries       [sourceCount]Entry
-	listedBy      [sourceCount]bool
-	hasAdminState bool // the admin interface has spoken of its state
+	startHistory startHistory
+	withheld     bool // listed as ready again, but not probed since
+	entries      [sourceCount]Entry
+	listedBy     [sourceCount]bool
+	// adminState is what the admin interface set, if hasAdminState.
+	hasAdminState bool
 	adminState    control.WorkerState
 	info          control.WorkerInfo
 }
 
-// List is the list. Make it by New.
+// IDCollisionError is returned for a worker whose id, a hash of its name, is that of another worker.
+type IDCollisionError struct {
+	Existing, Name string
+}
+
+// Error implements error.
+func (e *IDCollisionError) Error() string {
+	return fmt.Sprintf("workers %q and %q have the same id: rename one", e.Existing, e.Name)
+}
+
+// UnlistedWorkerError is returned for a state of a worker that no source lists, without an address to list it by.
+type UnlistedWorkerError struct {
+	Name string
+}
+
+// Error implements error.
+func (e *UnlistedWorkerError) Error() string {
+	return fmt.Sprintf("worker %q is not listed: give its address", e.Name)
+}
+
+// AddressConflictError is returned for an address from the admin interface that differs from the one another source lists.
+type AddressConflictError struct {
+	Name   string
+	Listed netip.AddrPort
+}
+
+// Error implements error.
+func (e *AddressConflictError) Error() string {
+	return fmt.Sprintf("worker %q is listed at %s: its address is changed where it is listed", e.Name, e.Listed)
+}
+
+// List is the endpoint list. Make it by New.
 type List struct {
-	Version uint32
-	byID    map[control.WorkerID]*Worker
-	sorted  []*Worker
-	idOf    func(string) control.WorkerID
-	zones   nameIndex
-	cells   nameIndex
-	kinds   nameIndex
+	Version uint32 // counts the changes
+
+	byID   map[control.WorkerID]*Worker
+	sorted []*Worker // by name
+	idOf   func(name string) control.WorkerID
+	zones  nameIndex
+	cells  nameIndex
+	kinds  nameIndex
 }
 
-// nameIndex numbers names in order of sight; 0 is the empty name.
+// nameIndex numbers names in the order of their first use, from 1; 0 is the empty name.
 type nameIndex map[string]int
 
 func (n nameIndex) indexOf(name string) int {
@@ -87,168 +129,190 @@
 	return n[name]
 }
 
-// New makes an empty list; id tells the id of a name.
-func New(id func(string) control.WorkerID) *List {
-	return &List{byID: map[control.WorkerID]*Worker{}, idOf: id, zones: nameIndex{}, cells: nameIndex{}, kinds: nameIndex{}}
+// New returns an empty list. idOf returns the id of a worker by its name.
+func New(idOf func(name string) control.WorkerID) *List {
+	return &List{byID: map[control.WorkerID]*Worker{}, idOf: idOf, zones: nameIndex{}, cells: nameIndex{}, kinds: nameIndex{}}
 }
 
-// All lists the workers, by name, those gone included.
-func (r *List) All() []*Worker { return r.sorted }
+// All returns the workers by name, those gone included. The slice is the list's own and valid until its next change.
+func (l *List) All() []*Worker { return l.sorted }
 
-// ByID returns a worker by id, nil if there is none.
-func (r *List) ByID(id control.WorkerID) *Worker { return r.byID[id] }
+// ByID returns a worker by its id, nil if there is none.
+func (l *List) ByID(id control.WorkerID) *Worker { return l.byID[id] }
 
-// ByName returns a worker by name, nil if there is none.
-func (r *List) ByName(name string) *Worker {
-	if w := r.byID[r.idOf(name)]; w != nil && w.Name == name {
-		return w
+// ByName returns a worker by its name, nil if there is none.
+func (l *List) ByName(name string) *Worker {
+	w := l.byID[l.idOf(name)]
+	if w == nil || w.Name != name {
+		return nil
 	}
-	return nil
+	return w
 }
 
-// Replace sets what a source names: workers it named before and does not name now are taken off its list. It returns
-// the workers whose line changed. An id that two names share is refused by name, and nothing is changed.
-func (r *List) Replace(s Source, list []Entry, now float64) ([]*Worker, error) {
-	seen := map[control.WorkerID]string{}
-	for _, e := range list {
-		id := r.idOf(e.Name)
-		if other, ok := seen[id]; ok {
-			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", other, e.Name)
+// Replace replaces all that a source lists, and returns the workers that have changed. On an IDCollisionError nothing
+// changes.
+func (l *List) Replace(source Source, entries []Entry, now float64) ([]*Worker, error) {
+	nameByID := map[control.WorkerID]string{}
+	for _, e := range entries {
+		id := l.idOf(e.Name)
+		if other, ok := nameByID[id]; ok {
+			return nil, &IDCollisionError{Existing: other, Name: e.Name}
 		}
-		if w := r.byID[id]; w != nil && w.Name != e.Name {
-			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", w.Name, e.Name)
+		if err := l.checkID(e.Name); err != nil {
+			return nil, err
 		}
-		seen[id] = e.Name
+		nameByID[id] = e.Name
 	}
-	for _, w := range r.sorted {
-		if _, ok := seen[w.ID]; !ok {
-			w.listedBy[s] = false
+	for _, w := range l.sorted {
+		if _, ok := nameByID[w.ID]; !ok {
+			w.listedBy[source] = false
 		}
 	}
-	for _, e := range list {
-		r.setEntry(s, e)
+	for _, e := range entries {
+		l.setEntry(source, e)
 	}
-	return r.mergeSources(now), nil
+	return l.mergeSources(now), nil
 }
 
-// Update sets what a source says of some workers; it goes on naming the others.
-func (r *List) Update(s Source, list []Entry, now float64) ([]*Worker, error) {
-	for _, e := range list {
-		if w := r.byID[r.idOf(e.Name)]; w != nil && w.Name != e.Name {
-			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", w.Name, e.Name)
+// Update sets some entries of a source, which keeps its others, and returns the workers that have changed. On an
+// IDCollisionError nothing changes.
+func (l *List) Update(source Source, entries []Entry, now float64) ([]*Worker, error) {
+	for _, e := range entries {
+		if err := l.checkID(e.Name); err != nil {
+			return nil, err
 		}
 	}
-	for _, e := range list {
-		r.setEntry(s, e)
+	for _, e := range entries {
+		l.setEntry(source, e)
 	}
-	return r.mergeSources(now), nil
+	return l.mergeSources(now), nil
 }
 
-// EvictGone drops the workers that have been gone since a time and that may be dropped.
-func (r *List) EvictGone(since float64, may func(*Worker) bool) {
-	r.sorted = slices.DeleteFunc(r.sorted, func(w *Worker) bool {
-		if w.State != control.Gone || w.ChangedAt >= since || w.hasAdminState || !may(w) {
+// SetAdminState sets the state of a worker as the admin interface requests it, and returns the workers that have changed.
+// An entry with an address lists the worker too, which one that is not listed needs. The error is an UnlistedWorkerError,
+// IDCollisionError or AddressConflictError, and nothing changes.
+func (l *List) SetAdminState(entry Entry, now float64) ([]*Worker, error) {
+	w := l.ByName(entry.Name)
+	isListed := w != nil && w.Listed
+	if !isListed {
+		if !entry.Addr.IsValid() {
+			return nil, &UnlistedWorkerError{Name: entry.Name}
+		}
+		if err := l.checkID(entry.Name); err != nil {
+			return nil, err
+		}
+	}
+	if entry.Addr.IsValid() {
+		if isListed && w.Addr.IsValid() && w.Addr != entry.Addr && !w.listedBy[SourceAdmin] {
+			return nil, &AddressConflictError{Name: entry.Name, Listed: w.Addr}
+		}
+		listed := entry
+		listed.State = control.Ready
+		l.setEntry(SourceAdmin, listed)
+		w = l.ByName(entry.Name)
+	}
+	w.hasAdminState = entry.State != control.Ready
+	w.adminState = entry.State
+	return l.mergeSources(now), nil
+}
+
+// EvictGone drops the workers that have been gone since before a time and that mayEvict allows to drop.
+func (l *List) EvictGone(since float64, mayEvict func(*Worker) bool) {
+	l.sorted = slices.DeleteFunc(l.sorted, func(w *Worker) bool {
+		if w.State != control.Gone || w.ChangedAt >= since || w.hasAdminState || !mayEvict(w) {
 			return false
 		}
-		delete(r.byID, w.ID)
+		delete(l.byID, w.ID)
 		return true
 	})
 }
 
-func (r *List) setEntry(s Source, e Entry) {
-	w := r.byID[r.idOf(e.Name)]
+// checkID returns an IDCollisionError if the id of a name is that of another worker.
+func (l *List) checkID(name string) error {
+	w := l.byID[l.idOf(name)]
+	if w != nil && w.Name != name {
+		return &IDCollisionError{Existing: w.Name, Name: name}
+	}
+	return nil
+}
+
+// setEntry sets what a source lists of a worker. mergeSources brings it into effect.
+func (l *List) setEntry(source Source, entry Entry) {
+	id := l.idOf(entry.Name)
+	w := l.byID[id]
 	if w == nil {
-		w = &Worker{Entry: e, ID: r.idOf(e.Name), StartedAt: math.Inf(-1)}
-		r.byID[w.ID] = w
-		i, _ := slices.BinarySearchFunc(r.sorted, w, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
-		r.sorted = slices.Insert(r.sorted, i, w)
+		w = &Worker{Entry: entry, ID: id, StartedAt: math.Inf(-1)}
+		l.byID[id] = w
+		i, _ := slices.BinarySearchFunc(l.sorted, w, func(a, b *Worker) int { return cmp.Compare(a.Name, b.Name) })
+		l.sorted = slices.Insert(l.sorted, i, w)
 	}
-	w.entries[s], w.listedBy[s] = e, true
+	w.entries[source] = entry
+	w.listedBy[source] = true
 }
 
-// SetAdminState sets what the admin interface says of a worker's state; a worker it does not know yet needs an address.
-func (r *List) SetAdminState(e Entry, now float64) ([]*Worker, error) {
-	w := r.ByName(e.Name)
-	if w == nil || !w.Listed {
-		if !e.Addr.IsValid() {
-			return nil, fmt.Errorf("worker %q is not listed: give its address", e.Name)
-		}
-		if other := r.byID[r.idOf(e.Name)]; other != nil && other.Name != e.Name {
-			return nil, fmt.Errorf("workers %q and %q have the same id: rename one", other.Name, e.Name)
+// mergeSources merges the entries of each worker, and returns the workers that have changed, under a new version.
+func (l *List) mergeSources(now float64) []*Worker {
+	var changed []*Worker
+	for _, w := range l.sorted {
+		if l.mergeWorker(w, now) {
+			changed = append(changed, w)
 		}
 	}
-	if e.Addr.IsValid() {
-		if w != nil && w.Addr.IsValid() && w.Listed && w.Addr != e.Addr && !w.listedBy[SourceAdmin] {
-			return nil, fmt.Errorf("worker %q is listed at %s: its address is changed where it is listed", e.Name, w.Addr)
-		}
-		state := e.State
-		e.State = control.Ready
-		r.setEntry(SourceAdmin, e)
-		e.State = state
-		w = r.ByName(e.Name)
+	if len(changed) > 0 {
+		l.Version++
+	}
+	for _, w := range changed {
+		w.Version = l.Version
+		w.ChangedAt = now
 	}
-	w.hasAdminState, w.adminState = e.State != control.Ready, e.State
-	return r.mergeSources(now), nil
+	return changed
 }
 
-// ObserveStart notes the start that a worker tells of itself (seconds since 1970, and the same on the dispatcher's clock).
-// It returns true where that is news: an empty, cold worker under the old name.
-func (r *List) ObserveStart(w *Worker, epoch, start, now float64) bool {
-	if !w.recordStart(epoch, start, math.Inf(-1), now) {
-		return false // an answer that was under way, or nothing new
+// mergeWorker merges the entries of a worker, and reports whether it has changed.
+func (l *List) mergeWorker(w *Worker, now float64) bool {
+	before, wasListed, addrBefore := w.info, w.Listed, w.Addr
+	isKnown := w.Version > 0
+	w.State = w.mergeEntries()
+	if w.StartProvided {
+		w.recordStart(w.Entry.Epoch, w.Entry.StartedAt, w.Entry.StartNotBefore, now)
 	}
-	r.Version++
-	w.Version, w.ChangedAt = r.Version, now
-	w.info = r.infoOf(w)
-	return true
+	isReadyAgain := isKnown && before.State != control.Ready
+	w.withheld = !w.StartProvided && w.State == control.Ready && (w.withheld || isReadyAgain)
+	w.info = l.infoOf(w)
+	return w.info != before || w.Listed != wasListed || w.Addr != addrBefore
 }
 
-// mergeSources works out each worker's line, and returns those that changed.
-func (r *List) mergeSources(now float64) []*Worker {
-	var changed []*Worker
-	for _, w := range r.sorted {
-		was, listed := w.info, w.Listed
-		known := w.Version > 0
-		w.Listed = false
-		state := control.Ready
-		addr := w.Addr
-		for s := SourceConfig; s < sourceCount; s++ {
-			if !w.listedBy[s] {
-				continue
-			}
-			if e := w.entries[s]; !w.Listed {
-				w.Listed, w.Source = true, s
-				w.Entry = e
-				state = e.State
-			} else if strictness(e.State) > strictness(state) {
-				state, w.Source = e.State, s
-			}
-		}
-		if !w.Listed {
-			state = control.Gone
-		} else if w.hasAdminState && strictness(w.adminState) > strictness(state) {
-			state, w.Source = w.adminState, SourceAdmin
+// mergeEntries sets Entry, Source and Listed from the entries of all sources, and returns the strictest state. A worker
+// that no source lists any more is gone and keeps its latest entry.
+func (w *Worker) mergeEntries() control.WorkerState {
+	state := control.Gone
+	w.Listed = false
+	for source := range sourceCount {
+		if !w.listedBy[source] {
+			continue
 		}
-		w.State = state
-		if w.StartProvided { // the latest start heard of holds: an event told late must not make it warm
-			w.recordStart(w.Entry.Epoch, w.Entry.StartedAt, w.Entry.StartNotBefore, now)
+		entry := w.entries[source]
+		switch {
+		case !w.Listed:
+			w.Listed = true
+			w.Source = source
+			w.Entry = entry
+			state = entry.State
+		case strictness(entry.State) > strictness(state):
+			w.Source = source
+			state = entry.State
 		}
-		w.withheld = !w.StartProvided && state == control.Ready && (w.withheld || known && was.State != control.Ready)
-		if w.info = r.infoOf(w); w.info != was || w.Listed != listed || addr != w.Addr {
-			changed = append(changed, w)
-		}
-	}
-	if len(changed) > 0 {
-		r.Version++
 	}
-	for _, w := range changed {
-		w.Version, w.ChangedAt = r.Version, now
+	if w.Listed && w.hasAdminState && strictness(w.adminState) > strictness(state) {
+		w.Source = SourceAdmin
+		state = w.adminState
 	}
-	return changed
+	return state
 }
 
-func strictness(s control.WorkerState) int {
-	switch s {
+// strictness orders states: the higher one applies where sources disagree.
+func strictness(state control.WorkerState) int {
+	switch state {
 	case control.Gone:
 		return 2
 	case control.Draining:
@@ -257,73 +321,53 @@
 	return 0
 }
 
-func (r *List) infoOf(w *Worker) control.WorkerInfo {
-	return control.WorkerInfo{ID: w.ID, Zone: control.ZoneID(r.zones.indexOf(w.Zone)), Kind: control.KindID(r.kinds.indexOf(w.Kind)),
-		Cell: control.CellID(r.cells.indexOf(w.Cell)), State: w.State, Weight: w.Weight, StartedAt: w.StartedAt}
+func (l *List) infoOf(w *Worker) control.WorkerInfo {
+	return control.WorkerInfo{
+		ID:        w.ID,
+		Zone:      control.ZoneID(l.zones.indexOf(w.Zone)),
+		Kind:      control.KindID(l.kinds.indexOf(w.Kind)),
+		Cell:      control.CellID(l.cells.indexOf(w.Cell)),
+		State:     w.State,
+		Weight:    w.Weight,
+		StartedAt: w.StartedAt,
+	}
 }
 
-// Advertised is what the decisions are told of a worker. One that is ready again stays draining for them until it was
-// greeted: what drained is often a process that ended, and each dispatcher would take the new one for the old, warm.
+// Advertised returns the worker as the control module is to see it. One that is ready again is shown as draining until a
+// startup probe has finished: a worker that drained has often ended, and a new process at its address must not be taken
+// for the previous one with its models loaded.
 func (w *Worker) Advertised() control.WorkerInfo {
-	l := w.info
+	info := w.info
 	if w.withheld {
-		l.State = control.Draining
+		info.State = control.Draining
 	}
-	return l
+	return info
 }
 
-// AwaitingStartupProbe tells whether a worker is ready again and has yet to be greeted.
+// AwaitingStartupProbe reports whether the worker is ready again but has not been probed since.
 func (w *Worker) AwaitingStartupProbe() bool { return w.withheld }
 
-// FinishStartupProbe notes that a worker was asked for its start, whether it answered or not, and tells whether its line changed.
-func (r *List) FinishStartupProbe(w *Worker) bool {
-	was := w.withheld
+// FinishStartupProbe records that a startup probe has finished, with or without a response, and reports whether the
+// worker's advertised state has changed.
+func (l *List) FinishStartupProbe(w *Worker) bool {
+	wasWithheld := w.withheld
 	w.withheld = false
-	return was
-}
-
-// StartupProbe decides when a worker is asked anew for its start: after connections were lost, which mostly means that its
-// process ended, and again until it answers. It asks at most once for what was sent since it asked last, so that
-// workers which close idle connections are not asked for ever.
-type StartupProbe struct {
-	pending        bool
-	sentSinceProbe bool // something was sent since it was asked last
-	backoff        float64
+	return wasWithheld
 }
 
-const (
-	minProbeBackoff = 0.1 // s after a greeting without an answer until the next: a restart takes longer
-	maxProbeBackoff = 2.0 // s, the most between two: cold workers warm up over seconds
-)
-
-// MarkSent notes that an attempt or an order goes out.
-func (g *StartupProbe) MarkSent() { g.sentSinceProbe = true }
-
-// ConnectionLost notes that a connection ended from the worker's side, and tells whether to ask it now.
-func (g *StartupProbe) ConnectionLost() bool {
-	ask := g.sentSinceProbe && !g.pending
-	if ask {
-		g.BeginProbe()
-	}
-	return ask
-}
-
-// BeginProbe notes that it is being asked.
-func (g *StartupProbe) BeginProbe() { g.pending, g.sentSinceProbe = true, false }
-
-// ProbePending tells whether an answer, or the next time to ask, is awaited.
-func (g *StartupProbe) ProbePending() bool { return g.pending }
-
-// ProbeFinished notes how a greeting ended. Where it had no answer it tells in how many seconds to ask again; chance is
-// 0 to 1, so that dispatchers do not ask in step.
-func (g *StartupProbe) ProbeFinished(ok bool, chance float64) (again float64) {
-	if ok {
-		g.pending, g.backoff = false, 0
-		return 0
+// ObserveStart records the start that a worker reports of itself: epoch in seconds since 1970, startedAt on the
+// dispatcher's clock. It reports whether that is a restart, which makes it a new, empty worker under the old name, and
+// counts as a change of the list.
+func (l *List) ObserveStart(w *Worker, epoch, startedAt, now float64) bool {
+	isRestart := w.recordStart(epoch, startedAt, math.Inf(-1), now)
+	if isRestart {
+		l.Version++
+		w.Version = l.Version
+		w.ChangedAt = now
+		w.info = l.infoOf(w)
 	}
-	g.backoff = math.Min(maxProbeBackoff, math.Max(minProbeBackoff, 2*g.backoff))
-	return g.backoff * (0.5 + chance)
+	return isRestart
 }
 
-// StateName is the state as operators read and write it.
+// StateName returns the state as operators read and write it.
 func (w *Worker) StateName() string { return [...]string{"gone", "ready", "draining"}[w.State] }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -183,7 +183,7 @@
 		t.Error("asked a worker that was sent nothing")
 	}
 	g.MarkSent()
-	if !g.ConnectionLost() || g.ConnectionLost() || !g.ProbePending() {
+	if !g.ConnectionLost() || g.ConnectionLost() || !g.pending {
 		t.Error("a loss asks once, until the answer")
 	}
 	sum, last := 0.0, 0.0
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,6 +1,7 @@
 // Package rules decides whether the rules allow an act towards a client or a worker now: making an attempt, sending its
 // first byte or the rest of it, shedding a request, ordering a load, closing a connection; and which deadline to pass on.
-// docs/host.md names the rules by number.
+// Rule 1: each request gets one final response, by the deadline. Rule 2: what must not run twice does not. Rule 3: a worker
+// that is draining or gone gets nothing new.
 //
 // It is pure: state and time go in, Allowed or a typed reason comes out. Package control decides which act is best; what
 // is forbidden is forbidden here, whatever was decided. control has similar checks of its own, so that it does not choose
