--- /dev/null
+++ b/internal/gateway/retry_test.go
@@ -0,0 +1,201 @@
+package gateway
+
+import (
+	"fmt"
+	"math"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"mastchute/control"
+	"mastchute/internal/config"
+	"mastchute/internal/membership"
+)
+
+// Rule 2: what each kind of failure proves, for a group that must not run twice and for one that may.
+func TestWhatProvesThatNothingRan(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		first    workerAction
+		model    string
+		status   int
+		outcome  string
+		attempts int // the second one is at the other worker
+	}{
+		{"at capacity", rejectAtCapacity, "once-1", 200, "returned", 2},
+		{"model not loaded", rejectModelNotLoaded, "once-1", 200, "returned", 2},
+		{"503 without proof", rejectWithoutProof, "once-1", 502, "failed", 1},
+		{"error", failInternally, "once-1", 502, "failed", 1},
+		{"reset", resetConnection, "once-1", 502, "failed", 1},
+		{"truncated", truncateResponse, "once-1", 502, "failed", 1},
+		{"error, retriable", failInternally, "read-1", 200, "returned", 2},
+		{"reset, retriable", resetConnection, "read-1", 200, "returned", 2},
+		{"truncated, retriable", truncateResponse, "read-1", 200, "returned", 2},
+		{"reset, deduplicated in the zone", resetConnection, "write-1", 200, "returned", 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			// Whichever worker is first does the action; the other succeeds, and so does the first thereafter.
+			var once sync.Once
+			script := func(conn net.Conn, request *http.Request) {
+				action := succeed
+				once.Do(func() { action = c.first })
+				action(conn, request)
+			}
+			w1, w2 := newWorker(t, "w1", script), newWorker(t, "w2", script)
+			h := newHarness(t, "", nil, w1, w2)
+			h.expect(c.model, c.status, c.outcome)
+			received := append(w1.received(), w2.received()...)
+			if len(received) != c.attempts {
+				t.Errorf("%d attempts", len(received))
+			}
+			if strings.HasPrefix(c.model, "write") && received[0].header.Get("Idempotency-Key") != received[1].header.Get("Idempotency-Key") {
+				t.Error("the retry has another idempotency key")
+			}
+		})
+	}
+}
+
+func TestNoConnectionProvesThatNothingRan(t *testing.T) {
+	dead, w2 := newWorker(t, "w1", succeed), newWorker(t, "w2", succeed)
+	h := newHarness(t, "", nil, dead, w2)
+	dead.listener.Close()
+	h.on(func() { h.worker("w1").transport.CloseIdle() })
+	for i := range 8 {
+		h.expect(fmt.Sprintf("once-%d", i), 200, "returned")
+	}
+	if len(dead.received()) != 0 || h.counterValue("mastchute_forward_ends_total", "connect_failed") == 0 {
+		t.Error("the dead worker was never attempted, or was reached")
+	}
+}
+
+// The worker closes a kept connection while the next request is on its way. Bytes were written, so it may have run.
+func TestReusedConnectionThatWasClosing(t *testing.T) {
+	w := newWorker(t, "w1", succeed, resetConnection, succeed)
+	h := newHarness(t, "", nil, w)
+	h.expect("once-1", 200, "returned")
+	h.expect("once-1", 502, "failed")
+	if n := len(w.received()); n != 2 {
+		t.Errorf("%d attempts", n)
+	}
+}
+
+// Rule 2 for a deduplicated group: nothing is sent outside of its zone once an attempt may have run.
+func TestDeduplicatedRequestStaysInItsZone(t *testing.T) {
+	var workers []*scriptedWorker
+	for _, name := range []string{"w1", "w2", "w3", "w4"} {
+		workers = append(workers, newWorker(t, name, resetConnection))
+	}
+	h := newHarness(t, "forwards: {most: 6}\n", nil, workers...)
+	h.expect("write-1", 502, "failed")
+	zone1 := len(workers[0].received()) + len(workers[1].received())
+	zone2 := len(workers[2].received()) + len(workers[3].received())
+	if zone1*zone2 != 0 || zone1+zone2 < 2 {
+		t.Errorf("%d attempts in one zone, %d in the other", zone1, zone2)
+	}
+}
+
+// A repeat of a deduplicated request that waits for a connection until its window is over is never sent.
+func TestNoRepeatLeavesAfterItsWindow(t *testing.T) {
+	w := newWorker(t, "w1", resetConnection, succeed)
+	h := newHarness(t, "", nil, w)
+	expired := 0
+	// expire ends the window of each repeat that waits, as if its connection came up a moment too late, and of all
+	// further repeats.
+	expire := func() {
+		for _, r := range h.gateway.requests {
+			if !r.inUse {
+				continue
+			}
+			for _, a := range r.attempts[:r.attemptCount] {
+				state, _ := a.TransportState.(*httpAttempt)
+				if a.Index > 0 && !a.finished && state.call.SentAt == 0 {
+					expired++
+					state.call.SendDeadline = h.gateway.Loop.Now() - 0.001
+					r.group.Window = config.S(0)
+				}
+			}
+		}
+	}
+	h.on(func() {
+		endBatch := h.gateway.Loop.AfterEvents
+		h.gateway.Loop.AfterEvents = func() {
+			endBatch()
+			expire()
+		}
+	})
+	if response := h.post("write-1", "", "in"); response.outcome == "returned" || response.err != nil {
+		t.Errorf("%+v", response)
+	}
+	h.on(func() {
+		if n := len(w.received()); n != 1 || expired == 0 {
+			t.Errorf("%d attempts were sent, %d repeats expired", n, expired)
+		}
+	})
+}
+
+// The window counts from the first attempt that may have run.
+func TestWindowCountsFromTheFirstThatMayHaveRun(t *testing.T) {
+	r := &Request{
+		group: &group{effect: control.Deduplicated},
+		attempts: [maxAttempts]*Attempt{
+			{createdAt: 1, finished: true, result: control.AtCapacity},
+			{createdAt: 3, finished: true, result: control.ConnectionReset},
+			{createdAt: 4},
+			{createdAt: 4.5},
+		},
+	}
+	r.group.Window = config.S(2)
+	if until := dedupDeadline(r.attemptFacts(nil, 3)); until != 5 {
+		t.Errorf("it ends at %g", until)
+	}
+	if until := dedupDeadline(r.attemptFacts(nil, 1)); !math.IsInf(until, 1) {
+		t.Error("an attempt that never ran begins the window")
+	}
+	r.group.effect = control.Retriable
+	if until := dedupDeadline(r.attemptFacts(nil, 3)); !math.IsInf(until, 1) {
+		t.Error("a retriable request has a window")
+	}
+}
+
+// Rule 3 holds for what the control module holds, what waits for a connection, and what is retried.
+func TestNothingNewAfterADrain(t *testing.T) {
+	draining := newWorker(t, "w1", delayed(300*time.Millisecond))
+	ready := newWorker(t, "w2", succeed)
+	h := newHarness(t, "limits: {worker_connections: 1}\n", nil, draining)
+	h.expect("read-1", 200, "returned") // the model is warm, and the connection is kept
+	var requests sync.WaitGroup
+	for range 5 {
+		requests.Add(1)
+		go func() {
+			defer requests.Done()
+			h.expect("read-1", 200, "returned")
+		}()
+	}
+	h.until("four wait for the connection", func() bool {
+		return len(draining.received()) == 2 && h.worker("w1").transport.QueuedCount() == 4
+	})
+	h.setAdminState(membership.Entry{Name: "w2", Addr: ready.addr(), State: control.Ready, Weight: 1})
+	h.until("w2 is announced", func() bool { return h.worker("w2").announced })
+	h.setAdminState(membership.Entry{Name: "w1", State: control.Draining})
+	requests.Wait()
+	if len(draining.received()) != 2 || len(ready.received()) != 4 {
+		t.Errorf("%d at the draining worker, %d at the other", len(draining.received()), len(ready.received()))
+	}
+}
+
+// Rule 5, and the sequence after a miss: one load within the budget, then a retry.
+func TestMissOrdersALoad(t *testing.T) {
+	w := newWorker(t, "w1", rejectModelNotLoaded, respond(200, "Mastchute-Copies: 1\r\n", ""), succeed, rejectModelNotLoaded)
+	h := newHarness(t, "loads: {on_miss: miss, window: 60s, few: 1, share: 0}\n", nil, w)
+	h.expect("read-1", 200, "returned")
+	if got := paths(w.received()); got != "/v2/models/read-1/infer /v2/repository/models/read-1/load /v2/models/read-1/infer" {
+		t.Errorf("%s", got)
+	}
+	h.expect("read-2", 503, "shed") // the load budget is used up
+	if n := strings.Count(paths(w.received()), "/load"); n != 1 {
+		t.Errorf("%d loads, 1 allowed", n)
+	}
+}
