--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -6,64 +6,115 @@
 	"mastchute/control"
 )
 
-func TestAttempt(t *testing.T) {
-	once := RequestFacts{Deadline: 10, Effect: control.NonRetriable, MayHaveRun: true}
-	dedup := RequestFacts{Deadline: 10, Effect: control.Deduplicated, MayHaveRun: true, DedupUntil: 3, InDedupScope: true}
-	out := dedup
-	out.InDedupScope = false
+var (
+	fresh        = RequestFacts{Deadline: 10}
+	answered     = RequestFacts{Deadline: 10, Answered: true}
+	retriable    = RequestFacts{Deadline: 10, Effect: control.Retriable, MayHaveRun: true}
+	nonRetriable = RequestFacts{Deadline: 10, Effect: control.NonRetriable, MayHaveRun: true}
+	deduplicated = RequestFacts{Deadline: 10, Effect: control.Deduplicated, MayHaveRun: true, DedupUntil: 3, InDedupScope: true}
+	outOfScope   = RequestFacts{Deadline: 10, Effect: control.Deduplicated, MayHaveRun: true, DedupUntil: 3}
+)
+
+func TestCheckAttempt(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		now   float64
-		q     RequestFacts
-		ready bool
-		want  Reason
+		name        string
+		now         float64
+		request     RequestFacts
+		workerReady bool
+		want        Reason
 	}{
-		{"fresh", 1, RequestFacts{Deadline: 10}, true, Allowed},
-		{"answered", 1, RequestFacts{Deadline: 10, Answered: true}, true, AlreadyAnswered},
-		{"draining", 1, RequestFacts{Deadline: 10}, false, WorkerNotReady},
-		{"late", 10.1, RequestFacts{Deadline: 10}, true, DeadlineExceeded},
-		{"second of a non-retriable", 1, once, true, MayHaveRun},
-		{"second of a retriable", 1, RequestFacts{Deadline: 10, Effect: control.Retriable, MayHaveRun: true}, true, Allowed},
-		{"in the window", 3, dedup, true, Allowed},
-		{"past the window", 3.1, dedup, true, DedupWindowExpired},
-		{"out of scope", 2, out, true, OutsideDedupScope},
+		{"first attempt", 1, fresh, true, Allowed},
+		{"answered", 1, answered, true, AlreadyAnswered},
+		{"draining worker", 1, fresh, false, WorkerNotReady},
+		{"after the deadline", 10.1, fresh, true, DeadlineExceeded},
+		{"retry of a non-retriable request", 1, nonRetriable, true, MayHaveRun},
+		{"retry of a retriable request", 1, retriable, true, Allowed},
+		{"at the end of the window", 3, deduplicated, true, Allowed},
+		{"after the window", 3.1, deduplicated, true, DedupWindowExpired},
+		{"outside of the scope", 2, outOfScope, true, OutsideDedupScope},
 	} {
-		if got := CheckAttempt(c.now, c.q, c.ready); got != c.want {
+		if got := CheckAttempt(c.now, c.request, c.workerReady); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
-	if r := CheckFirstByte(1.2, 1, 0, RequestFacts{Deadline: 10}, true); r != StaleDeadline {
-		t.Errorf("a deadline 0.2 s old leaves: %s", r)
+}
+
+func TestCheckFirstByte(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		now      float64 // the message was encoded at 1
+		renewals int
+		request  RequestFacts
+		want     Reason
+	}{
+		{"recent", 1.01, 0, deduplicated, Allowed},
+		{"0.2 s old", 1.2, 0, fresh, StaleDeadline},
+		{"after two renewals", 1.08, 2, fresh, StaleDeadline},
+		{"after three renewals", 1.08, 3, fresh, Allowed},
+		{"after many renewals", 1.12, 9, fresh, StaleDeadline},
+	} {
+		if got := CheckFirstByte(c.now, 1, c.renewals, c.request, true); got != c.want {
+			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+		}
 	}
-	if r := CheckFirstByte(1.01, 1, 0, dedup, true); r != Allowed {
-		t.Errorf("a fresh message: %s", r)
+}
+
+func TestCheckRemainder(t *testing.T) {
+	if r := CheckRemainder(1.05, 1); r != Allowed {
+		t.Errorf("0.05 s old: %s", r)
 	}
-	if CheckFirstByte(1.08, 1, 2, RequestFacts{Deadline: 10}, true) != StaleDeadline || CheckFirstByte(1.08, 1, 3, RequestFacts{Deadline: 10}, true) != Allowed ||
-		CheckFirstByte(1.12, 1, 9, RequestFacts{Deadline: 10}, true) != StaleDeadline {
-		t.Error("a message that was written anew before")
+	if r := CheckRemainder(1.2, 1); r != StaleDeadline {
+		t.Errorf("0.2 s old: %s", r)
 	}
-	if CheckRemainder(1.05, 1) != Allowed || CheckRemainder(1.2, 1) != StaleDeadline {
-		t.Error("the rest of a message")
+}
+
+func TestCheckShed(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		request RequestFacts
+		want    Reason
+	}{
+		{"non-retriable that may have run", RequestFacts{Effect: control.NonRetriable, MayHaveRun: true}, MayHaveRun},
+		{"non-retriable that never ran", RequestFacts{Effect: control.NonRetriable}, Allowed},
+		{"answered", RequestFacts{Answered: true}, AlreadyAnswered},
+		{"deduplicated that may have run", RequestFacts{Effect: control.Deduplicated, MayHaveRun: true}, Allowed},
+	} {
+		if got := CheckShed(c.request); got != c.want {
+			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+		}
 	}
 }
 
-func TestOtherActs(t *testing.T) {
-	if CheckShed(RequestFacts{Effect: control.NonRetriable, MayHaveRun: true}) != MayHaveRun || CheckShed(RequestFacts{Effect: control.NonRetriable}) != Allowed ||
-		CheckShed(RequestFacts{Answered: true}) != AlreadyAnswered || CheckShed(RequestFacts{Effect: control.Deduplicated, MayHaveRun: true}) != Allowed {
-		t.Error("shed")
+func TestCheckLoadAndClose(t *testing.T) {
+	if CheckLoad(false) != WorkerNotReady || CheckLoad(true) != Allowed {
+		t.Error("load")
 	}
-	if CheckLoad(false) != WorkerNotReady || CheckLoad(true) != Allowed || CheckClose(1) != ResponseOwed || CheckClose(0) != Allowed {
-		t.Error("order or close")
+	if CheckClose(1) != ResponseOwed || CheckClose(0) != Allowed {
+		t.Error("close")
 	}
-	if WorkerDeadlineMillis(1, 2.5) != 1500 || WorkerDeadlineMillis(3, 2) != MinDeadlineMillis {
-		t.Error("budget")
+}
+
+func TestWorkerDeadline(t *testing.T) {
+	if ms := WorkerDeadlineMillis(1, 2.5); ms != 1500 {
+		t.Errorf("1.5 s left: %d ms", ms)
 	}
-	for r := Reason(1); r < reasonCount; r++ {
+	if ms := WorkerDeadlineMillis(3, 2); ms != MinDeadlineMillis {
+		t.Errorf("past the deadline: %d ms", ms)
+	}
+}
+
+func TestEachReasonHasARuleAndAName(t *testing.T) {
+	for r := Allowed + 1; r < reasonCount; r++ {
 		if r.Rule() == 0 || r.String() == "" {
 			t.Errorf("reason %d has rule %d, name %q", r, r.Rule(), r)
 		}
 	}
-	if control.ParseEffect("retriable") != control.Retriable || control.ParseEffect("deduped") != control.Deduplicated || control.ParseEffect("?") != control.NonRetriable {
-		t.Error("effects")
+}
+
+func TestParseEffect(t *testing.T) {
+	for word, want := range map[string]control.Effect{"retriable": control.Retriable, "deduped": control.Deduplicated, "?": control.NonRetriable} {
+		if got := control.ParseEffect(word); got != want {
+			t.Errorf("%s: %v, want %v", word, got, want)
+		}
 	}
 }
