--- a/internal/gateway/http_clients.go
+++ b/internal/gateway/http_clients.go
@@ -183,9 +183,9 @@
 	}
 	details := control.Request{
 		Group:        model.group.index,
-		MemoryMB:     model.Memory,
-		Concurrency:  model.Lanes,
-		LoadTimeHint: model.Load,
+		MemoryMB:     model.MemoryMB,
+		Concurrency:  model.Concurrency,
+		LoadTimeHint: model.LoadSeconds,
 		Deadline:     math.Inf(1),
 		ClientRetry:  httpcodec.EqualsLower(x.Head.Get("mastchute-repeat"), "true"),
 		WorkHint:     parseDecimal(x.Head.Get("mastchute-work")),
--- a/internal/gateway/http_workers.go
+++ b/internal/gateway/http_workers.go
@@ -169,9 +169,9 @@
 	}
 	// Workers may report what the catalogue does not say.
 	model := a.Request.model
-	model.Memory = cmp.Or(model.Memory, h.metadata.memoryMB)
-	model.Lanes = cmp.Or(model.Lanes, h.metadata.concurrency)
-	model.Load = cmp.Or(model.Load, h.metadata.loadSeconds)
+	model.MemoryMB = cmp.Or(model.MemoryMB, h.metadata.memoryMB)
+	model.Concurrency = cmp.Or(model.Concurrency, h.metadata.concurrency)
+	model.LoadSeconds = cmp.Or(model.LoadSeconds, h.metadata.loadSeconds)
 	if a.Request.finished {
 		return
 	}
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -63,9 +63,9 @@
 	CancelControlCall(call *ControlCall)
 	// CloseIdle closes the connections that carry nothing.
 	CloseIdle()
-	// FailUnsent finishes, as control.NotSent and in this turn of the loop, everything that has not been sent.
+	// FailUnsent finishes as control.NotSent everything that has not been sent, soon but not within the call.
 	FailUnsent()
-	// Close closes idle connections at once and each other one when it becomes idle. Nothing is sent afterwards.
+	// Close closes idle connections at once and each other one when it becomes idle.
 	Close()
 	// ConnectionCount returns the number of connections to the worker.
 	ConnectionCount() int
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -37,14 +37,14 @@
 	return fmt.Sprintf("its model group %s is new: restart to use it", e.group)
 }
 
-// Model is a model by its name. Memory is in MB, Load in seconds; 0 means that it is not known.
+// Model is a model by its name. In the figures 0 means that it is not known.
 type Model struct {
-	Name   string
-	ID     control.ModelID
-	Group  int
-	Memory float64
-	Lanes  float64
-	Load   float64
+	Name        string
+	ID          control.ModelID
+	Group       int     // index of its model group in the settings
+	MemoryMB    float64 // of a replica
+	Concurrency float64 // requests that a replica serves at once
+	LoadSeconds float64 // time to load a replica
 
 	group      *group
 	lastUsed   float64 // loop time of its latest request
@@ -113,7 +113,7 @@
 		for index, group := range g.groups {
 			if group.Name == entry.Group {
 				return g.AddModel(Model{Name: string(name), ID: config.ModelID(string(name)), Group: index,
-					Memory: entry.Memory.MB(), Lanes: entry.Lanes, Load: entry.Load.Seconds})
+					MemoryMB: entry.Memory.MB(), Concurrency: entry.Lanes, LoadSeconds: entry.Load.Seconds})
 			}
 		}
 		return nil, &newGroupError{entry.Group}
@@ -152,9 +152,9 @@
 		g.models.byID[m.ID] = m
 	}
 	m.Group = model.Group
-	m.Memory = model.Memory
-	m.Lanes = model.Lanes
-	m.Load = model.Load
+	m.MemoryMB = model.MemoryMB
+	m.Concurrency = model.Concurrency
+	m.LoadSeconds = model.LoadSeconds
 	m.group = g.groups[model.Group]
 	g.models.byName[m.Name] = m
 	g.models.touch(m, now)
--- a/internal/gateway/race_on_test.go
+++ b/internal/gateway/race_on_test.go
@@ -2,4 +2,4 @@
 
 package gateway
 
-const raceOn = true
+const raceEnabled = true
--- a/internal/gateway/rule_checks.go
+++ b/internal/gateway/rule_checks.go
@@ -65,7 +65,7 @@
 // isReady reports whether new work may be sent to a worker.
 func (w *Worker) isReady() bool { return w.State == control.Ready }
 
-// CheckFirstByte returns whether the first byte of an attempt may be sent at now, in a message whose deadline was encoded
+// CheckFirstByte returns rules.Allowed if the first byte of an attempt may be sent at now, in a message whose deadline was encoded
 // at encodedAt and that has been encoded again so many times. What it forbids is counted as held back: events overtook the
 // attempt in the send queue, which is no fault.
 func (a *Attempt) CheckFirstByte(now, encodedAt float64, renewals int) rules.Reason {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -75,7 +75,7 @@
 	InDedupScope bool           // the worker in question drops repeats of it
 }
 
-// CheckAttempt returns whether an attempt may be made at a worker.
+// CheckAttempt returns Allowed if an attempt may be made at a worker, and else the reason why not.
 func CheckAttempt(now float64, request RequestFacts, workerReady bool) Reason {
 	switch {
 	case request.Answered:
@@ -96,7 +96,7 @@
 	return Allowed
 }
 
-// CheckFirstByte returns whether the first byte of an attempt's message may be sent: the attempt must still be allowed,
+// CheckFirstByte returns Allowed if the first byte of an attempt's message may be sent: the attempt must still be allowed,
 // and the deadline in the message, encoded at encodedAt after so many renewals, must not be stale.
 func CheckFirstByte(now, encodedAt float64, renewals int, request RequestFacts, workerReady bool) Reason {
 	reason := CheckAttempt(now, request, workerReady)
@@ -113,7 +113,7 @@
 	return Allowed
 }
 
-// CheckRemainder returns whether the rest of a partly sent message may be sent.
+// CheckRemainder returns Allowed if the rest of a partly sent message may be sent.
 func CheckRemainder(now, encodedAt float64) Reason {
 	if now-encodedAt > MaxPartialAge {
 		return StaleDeadline
@@ -121,7 +121,7 @@
 	return Allowed
 }
 
-// CheckShed returns whether a client may be told that a retry is harmless.
+// CheckShed returns Allowed if a client may be told that a retry is harmless.
 func CheckShed(request RequestFacts) Reason {
 	switch {
 	case request.Answered:
@@ -132,7 +132,7 @@
 	return Allowed
 }
 
-// CheckLoad returns whether a load may be ordered at a worker.
+// CheckLoad returns Allowed if a load may be ordered at a worker.
 func CheckLoad(workerReady bool) Reason {
 	if !workerReady {
 		return WorkerNotReady
@@ -140,7 +140,7 @@
 	return Allowed
 }
 
-// CheckClose returns whether a client's connection may be closed, without a fault of the client's.
+// CheckClose returns Allowed if a client's connection may be closed that is not at fault.
 func CheckClose(responsesOwed int) Reason {
 	if responsesOwed > 0 {
 		return ResponseOwed
