--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -20,11 +20,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		first.inFlight++ // it cannot be evicted
 		var collision *ModelIDCollisionError
 		if _, err := g.AddModel(Model{Name: "other", ID: first.ID}); !errors.As(err, &collision) || collision.Existing != "read-1" {
 			t.Errorf("another name of the same id: %v", err)
 		}
-		first.inFlight++ // it cannot be evicted
 		if _, err := g.AddModel(Model{Name: "other", ID: first.ID + 1}); !errors.Is(err, ErrTooManyModels) {
 			t.Errorf("beyond the limit: %v", err)
 		}
