--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -18,13 +18,13 @@
 	if w != nil {
 		e.Worker = uint32(w.ID)
 	}
-	g.Events.Add(e)
+	g.flightRecorder.Add(e)
 }
 
 // DumpFlightRecorder logs the recorded events, oldest first, and the requests in flight.
 func (g *Gateway) DumpFlightRecorder(why string) {
-	g.log.Warn().Str("why", why).Uint64("events", g.Events.Count()).Int("in_flight", g.inFlight).Msg("flight recorder")
-	g.Events.Each(func(e *flightrecorder.Event) {
+	g.log.Warn().Str("why", why).Uint64("events", g.flightRecorder.Count()).Int("in_flight", g.inFlight).Msg("flight recorder")
+	g.flightRecorder.Each(func(e *flightrecorder.Event) {
 		g.log.Warn().Float64("at", e.At).Str("what", e.What).Str("reason", e.Why).Uint64("request", e.Request).
 			Uint32("worker_id", e.Worker).Float64("value", e.Value).Msg("event")
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,9 +33,8 @@
 	Loop    *eventloop.Loop
 	Metrics *Metrics
 	Members *membership.List
-	Events  flightrecorder.Ring
 
-	// Settled at construction.
+	// Set at construction. A reload replaces log and some of cfg.
 	cfg             *config.Config
 	log             zerolog.Logger
 	clients         ClientTransport
@@ -75,6 +74,8 @@
 	stopTimer     eventloop.Timer
 	evictionTimer eventloop.Timer
 	exitStatus    ExitStatus
+
+	flightRecorder flightrecorder.Ring
 }
 
 // group is a model group of the configuration with its settings resolved.
--- a/internal/gateway/http_clients.go
+++ b/internal/gateway/http_clients.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"math"
 	"net/netip"
 	"strconv"
@@ -58,7 +59,7 @@
 	limits := g.cfg.Limits
 	addr, err := netip.ParseAddrPort(g.cfg.Listen)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("listen address: %w", err)
 	}
 	t := &httpClientTransport{gateway: g, budget: httpconn.MemoryBudget{Limit: limits.Memory.Bytes}}
 	t.server, err = httpconn.NewServer(g.Loop, addr, t, httpconn.ServerOptions{
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"fmt"
 	"net/netip"
 
 	"mastchute/control"
@@ -17,7 +18,7 @@
 	for _, w := range workers {
 		addr, err := netip.ParseAddrPort(w.Address)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("address of worker %q: %w", w.Name, err)
 		}
 		entry := membership.Entry{Name: w.Name, Addr: addr, Zone: w.Zone, Cell: w.Cell, Kind: w.Kind, Weight: w.Weight, State: control.Ready}
 		if entry.Weight == 0 {
