--- /dev/null
+++ b/internal/gateway/http_clients.go
@@ -0,0 +1,341 @@
+package gateway
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+	"strconv"
+
+	"github.com/rs/zerolog"
+
+	"mastchute/control"
+	"mastchute/internal/config"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
+	"mastchute/internal/membership"
+)
+
+// Clients over HTTP/1.1: ClientTransport and ResponseWriter on package httpconn.
+
+const (
+	maxRequestLine    = 8 << 10 // bytes
+	maxRequestHeaders = 100
+)
+
+// NewHTTP returns a gateway that listens for HTTP/1.1 at the configured address. It serves once the loop runs.
+func NewHTTP(loop *eventloop.Loop, cfg *config.Config, log zerolog.Logger, newModule NewModule) (*Gateway, error) {
+	workers, err := MembershipEntries(cfg.Workers)
+	if err != nil {
+		return nil, err
+	}
+	options := Options{
+		Config:   cfg,
+		Settings: cfg.Settings(),
+		Seed:     cfg.Seed,
+		Source:   membership.SourceConfig,
+		Workers:  workers,
+		NewClientTransport: func(g *Gateway) (ClientTransport, error) {
+			return newHTTPClientTransport(g)
+		},
+	}
+	return New(loop, options, log, newModule)
+}
+
+// Addr returns the address that the HTTP/1.1 server listens on. It may be called from any goroutine.
+func (g *Gateway) Addr() netip.AddrPort { return g.clients.(*httpClientTransport).server.Addr() }
+
+// httpClientTransport implements ClientTransport and httpconn.Service.
+type httpClientTransport struct {
+	gateway     *Gateway
+	server      *httpconn.Server
+	budget      httpconn.MemoryBudget
+	freeWriters []*httpResponseWriter
+	scratch     []byte // for problem documents
+}
+
+func newHTTPClientTransport(g *Gateway) (*httpClientTransport, error) {
+	limits := g.cfg.Limits
+	addr, err := netip.ParseAddrPort(g.cfg.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("listen address: %w", err)
+	}
+	t := &httpClientTransport{gateway: g, budget: httpconn.MemoryBudget{Limit: limits.Memory.Bytes}}
+	t.server, err = httpconn.NewServer(g.Loop, addr, t, httpconn.ServerOptions{
+		Limits: httpcodec.Limits{
+			Line:    min(maxRequestLine, int(limits.Head.Bytes)),
+			Head:    int(limits.Head.Bytes),
+			Headers: maxRequestHeaders,
+			Body:    limits.Body.Bytes,
+		},
+		IdleTimeout: limits.IdleTimeout.Seconds,
+		HeadTimeout: limits.HeadTimeout.Seconds,
+		BodyTimeout: limits.BodyTimeout.Seconds,
+		Budget:      &t.budget,
+	})
+	return t, err
+}
+
+// Drain implements ClientTransport.
+func (t *httpClientTransport) Drain() { t.server.Drain() }
+
+// ConnectionCount implements ClientTransport.
+func (t *httpClientTransport) ConnectionCount() int { return t.server.ConnectionCount() }
+
+// BufferedBytes implements ClientTransport.
+func (t *httpClientTransport) BufferedBytes() int64 { return t.budget.Used }
+
+// NewWorkerTransport implements ClientTransport.
+func (t *httpClientTransport) NewWorkerTransport(w *Worker) WorkerTransport {
+	return newHTTPWorkerTransport(t.gateway, w)
+}
+
+// HeadReceived implements httpconn.Service. It answers health checks, and rejects requests before their body is read.
+func (t *httpClientTransport) HeadReceived(x *httpconn.Exchange) (answered bool) {
+	g := t.gateway
+	target := x.Head.Target
+	model, verb, isModelPath := parseModelPath(target)
+	switch {
+	case isModelPath && string(verb) == "infer":
+		return t.rejectInference(x, model)
+	case isModelPath && string(verb) == "ready" && isReadMethod(x.Head.Method):
+		if _, err := g.resolveModel(model); err != nil {
+			return t.reject(x, "unknown_model", 404, errUnknownModel.Error())
+		}
+		return t.writeHealth(x, g.Ready())
+	case string(target) == "/v2/health/live":
+		return t.writeHealth(x, g.exitStatus.PanicMessage == "")
+	case string(target) == "/v2/health/ready":
+		return t.writeHealth(x, g.Ready())
+	}
+	return t.reject(x, "path", 404, "no such path; inferences go to POST /v2/models/NAME/infer")
+}
+
+// rejectInference rejects an inference request that its head shows not to be acceptable, and reports whether it did.
+func (t *httpClientTransport) rejectInference(x *httpconn.Exchange, modelName []byte) bool {
+	g := t.gateway
+	if !httpcodec.EqualsLower(x.Head.Method, "post") {
+		return t.reject(x, "method", 405, "write POST")
+	}
+	_, err := g.resolveModel(modelName)
+	switch {
+	case errors.Is(err, errUnknownModel):
+		return t.reject(x, "unknown_model", 404, errUnknownModel.Error())
+	case err != nil:
+		return t.reject(x, "model_id", 409, "this model cannot be taken: "+err.Error())
+	case !g.Serving():
+		x.CloseAfter()
+		return t.reject(x, "stopping", 503, "the dispatcher is stopping")
+	case g.inFlight >= g.cfg.Limits.Requests:
+		return t.reject(x, "too_many", 503, "too many inferences are in hand")
+	}
+	tenant := x.Head.Get("mastchute-tenant")
+	if len(tenant) > 0 && len(g.tenants) > 0 && t.tenantIndex(tenant) < 0 {
+		return t.reject(x, "unknown_tenant", 400, "no such tenant in the settings")
+	}
+	for _, name := range [...]string{"mastchute-timeout", "mastchute-work"} {
+		value := x.Head.Get(name)
+		if value != nil && parseDecimal(value) <= 0 {
+			return t.reject(x, "header", 400, name+" is no positive decimal number of seconds")
+		}
+	}
+	return false
+}
+
+// reject responds to a request that is not accepted. It sets no Mastchute-Answer, which only accepted requests get.
+func (t *httpClientTransport) reject(x *httpconn.Exchange, reason string, status int, detail string) bool {
+	t.gateway.Metrics.countRejection(reason)
+	b := x.StartResponse(status)
+	b = httpcodec.AppendHeader(b, "Content-Type", httpconn.ProblemType)
+	if status == 503 {
+		b = append(b, "Retry-After: 1\r\n"...)
+	}
+	if status == 405 {
+		b = append(b, "Allow: POST\r\n"...)
+	}
+	x.FinishResponse(b, httpconn.AppendProblem(nil, status, detail))
+	return true
+}
+
+func (t *httpClientTransport) writeHealth(x *httpconn.Exchange, healthy bool) bool {
+	if !healthy {
+		x.Problem(503, "not ready")
+		return true
+	}
+	x.FinishResponse(x.StartResponse(200), nil)
+	return true
+}
+
+// RequestRefused implements httpconn.Service.
+func (t *httpClientTransport) RequestRefused(e *httpcodec.Error) {
+	t.gateway.Metrics.countRejection("http_" + strconv.Itoa(e.Status))
+}
+
+// RequestReceived implements httpconn.Service: it accepts a request, unless the gateway's state has changed since its head
+// was received.
+func (t *httpClientTransport) RequestReceived(x *httpconn.Exchange) {
+	g := t.gateway
+	name, _, _ := parseModelPath(x.Head.Target)
+	model, err := g.resolveModel(name)
+	if err != nil || !g.Serving() || g.inFlight >= g.cfg.Limits.Requests {
+		t.reject(x, "stopping", 503, "the dispatcher is stopping or full")
+		return
+	}
+	details := control.Request{
+		Group:        model.group.index,
+		MemoryMB:     model.MemoryMB,
+		Concurrency:  model.Concurrency,
+		LoadTimeHint: model.LoadSeconds,
+		Deadline:     math.Inf(1),
+		ClientRetry:  httpcodec.EqualsLower(x.Head.Get("mastchute-repeat"), "true"),
+		WorkHint:     parseDecimal(x.Head.Get("mastchute-work")),
+	}
+	if timeout := x.Head.Get("mastchute-timeout"); timeout != nil {
+		details.Deadline = x.ReceivedAt() + parseDecimal(timeout)
+	}
+	tenant := t.tenantIndex(x.Head.Get("mastchute-tenant"))
+	w := t.allocateWriter(x)
+	w.request = g.AcceptRequest(w, model, tenant, x.ReceivedAt(), details)
+}
+
+// tenantIndex returns the index of a tenant in the settings, -1 if there is none of that name.
+func (t *httpClientTransport) tenantIndex(name []byte) int {
+	index, ok := t.gateway.tenants[string(name)]
+	if len(name) == 0 || !ok {
+		return -1
+	}
+	return index
+}
+
+// ClientGone implements httpconn.Service.
+func (t *httpClientTransport) ClientGone(x *httpconn.Exchange) {
+	w := writerOf(x)
+	if w != nil {
+		request := w.request
+		t.recycleWriter(w)
+		t.gateway.ClientGone(request)
+	}
+}
+
+// StreamWritable implements httpconn.Service: a streamed response may continue.
+func (t *httpClientTransport) StreamWritable(x *httpconn.Exchange) {
+	w := writerOf(x)
+	if w != nil && w.request.streamingAttempt != nil {
+		w.request.streamingAttempt.TransportState.(*httpAttempt).call.Resume()
+	}
+}
+
+// httpResponseWriter implements ResponseWriter for one exchange. It is recycled once the response is written or the client
+// has disconnected.
+type httpResponseWriter struct {
+	transport *httpClientTransport
+	exchange  *httpconn.Exchange
+	request   *Request
+}
+
+// writerOf returns the writer of an exchange, nil if it has none.
+func writerOf(x *httpconn.Exchange) *httpResponseWriter {
+	w, _ := x.ServiceState.(*httpResponseWriter)
+	if w == nil || w.exchange != x {
+		return nil
+	}
+	return w
+}
+
+func (t *httpClientTransport) allocateWriter(x *httpconn.Exchange) *httpResponseWriter {
+	var w *httpResponseWriter
+	if n := len(t.freeWriters); n > 0 {
+		w = t.freeWriters[n-1]
+		t.freeWriters = t.freeWriters[:n-1]
+	} else {
+		w = &httpResponseWriter{transport: t}
+	}
+	w.exchange = x
+	x.ServiceState = w
+	return w
+}
+
+func (t *httpClientTransport) recycleWriter(w *httpResponseWriter) {
+	w.exchange = nil
+	w.request = nil
+	t.freeWriters = append(t.freeWriters, w)
+}
+
+// WriteResponse implements ResponseWriter.
+func (w *httpResponseWriter) WriteResponse(r *Request, a *Attempt) {
+	x := w.exchange
+	w.transport.recycleWriter(w)
+	if r.streamingAttempt == a {
+		x.EndStream()
+		return
+	}
+	response := a.TransportState.(*httpAttempt)
+	b := w.transport.appendMarkHeaders(x.StartResponse(response.status), r, outcomeReturned)
+	x.FinishResponse(append(b, response.headers...), a.ResponseBody)
+}
+
+// WriteShed implements ResponseWriter.
+func (w *httpResponseWriter) WriteShed(r *Request, retryAfter float64) {
+	x, t := w.exchange, w.transport
+	t.recycleWriter(w)
+	b := t.appendMarkHeaders(x.StartResponse(503), r, outcomeShed)
+	b = append(b, "Content-Type: application/problem+json\r\nRetry-After: "...)
+	b = strconv.AppendInt(b, int64(math.Ceil(retryAfter)), 10)
+	b = append(b, "\r\nMastchute-Retry-After: "...)
+	b = appendSeconds(b, retryAfter)
+	b = append(b, "\r\n"...)
+	t.scratch = httpconn.AppendProblem(t.scratch[:0], 503, "no worker can take this now; trying again is harmless")
+	x.FinishResponse(b, t.scratch)
+}
+
+// WriteFailure implements ResponseWriter.
+func (w *httpResponseWriter) WriteFailure(r *Request, late bool, why string) {
+	x, t := w.exchange, w.transport
+	t.recycleWriter(w)
+	if r.streamingAttempt != nil { // a response that has begun can only be cut off
+		x.AbortStream()
+		return
+	}
+	status := 502
+	if late {
+		status = 504
+	}
+	b := t.appendMarkHeaders(x.StartResponse(status), r, outcomeFailed)
+	b = append(b, "Content-Type: application/problem+json\r\n"...)
+	t.scratch = httpconn.AppendProblem(t.scratch[:0], status, why)
+	x.FinishResponse(b, t.scratch)
+}
+
+// appendMarkHeaders appends the headers of every final response.
+func (t *httpClientTransport) appendMarkHeaders(b []byte, r *Request, o outcome) []byte {
+	b = append(b, "Mastchute-Answer: "...)
+	b = append(b, o.String()...)
+	b = append(b, "\r\nMastchute-Inference: "...)
+	b = t.gateway.appendRequestID(b, r)
+	return append(b, "\r\n"...)
+}
+
+func isReadMethod(method []byte) bool {
+	return httpcodec.EqualsLower(method, "get") || httpcodec.EqualsLower(method, "head")
+}
+
+// parseModelPath splits /v2/models/NAME/VERB, without its query. ok is false for any other path. Percent escapes are not
+// decoded: a name with one is another name.
+func parseModelPath(target []byte) (name, verb []byte, ok bool) {
+	const prefix = "/v2/models/"
+	target = target[:indexByte(target, '?')]
+	if len(target) <= len(prefix) || string(target[:len(prefix)]) != prefix {
+		return nil, nil, false
+	}
+	rest := target[len(prefix):]
+	slash := indexByte(rest, '/')
+	if slash == len(rest) {
+		return nil, nil, false
+	}
+	return rest[:slash], rest[slash+1:], slash > 0
+}
+
+func appendSeconds(b []byte, seconds float64) []byte {
+	return strconv.AppendFloat(b, seconds, 'f', 3, 64)
+}
--- /dev/null
+++ b/internal/gateway/rule_checks.go
@@ -0,0 +1,95 @@
+package gateway
+
+import (
+	"math"
+
+	"mastchute/control"
+	"mastchute/internal/rules"
+)
+
+// The facts that package rules decides by, and the record of what it forbade.
+
+var ruleNames = [...]string{"0", "1", "2", "3", "4", "5"} // values of the metric label "rule"
+
+// attemptFacts returns the facts that bear on an attempt at a worker, given the first attempts of the request.
+func (r *Request) attemptFacts(w *Worker, earlier int) rules.RequestFacts {
+	facts := rules.RequestFacts{Answered: r.finished, Deadline: r.deadline, Effect: r.group.effect, DedupUntil: math.Inf(1)}
+	for _, a := range r.attempts[:earlier] {
+		if a.finished && a.result.NeverRan() {
+			continue
+		}
+		if !facts.MayHaveRun {
+			facts.MayHaveRun = true
+			facts.DedupUntil = a.createdAt + r.group.Window.Seconds
+			facts.InDedupScope = true
+		}
+		facts.InDedupScope = facts.InDedupScope && r.group.dedupScopeCovers(a.Worker, w)
+	}
+	return facts
+}
+
+// shedFacts returns the facts that bear on shedding a request. An attempt in flight that has not been fully sent counts as
+// one that never ran, since the final response cancels it.
+func (r *Request) shedFacts() rules.RequestFacts {
+	facts := rules.RequestFacts{Answered: r.finished, Effect: r.group.effect}
+	for _, a := range r.attempts[:r.attemptCount] {
+		if a.finished && !a.result.NeverRan() || !a.finished && a.Worker.transport.FullySent(a) {
+			facts.MayHaveRun = true
+		}
+	}
+	return facts
+}
+
+// dedupDeadline returns when workers cease to drop a repeat, counted from the first attempt that may have run; +Inf if
+// none may have, or if repeats are harmless.
+func dedupDeadline(facts rules.RequestFacts) float64 {
+	if facts.Effect == control.Deduplicated && facts.MayHaveRun {
+		return facts.DedupUntil
+	}
+	return math.Inf(1)
+}
+
+// dedupScopeCovers reports whether two workers drop each other's repeats.
+func (g *group) dedupScopeCovers(a, b *Worker) bool {
+	switch g.dedupScope {
+	case control.ScopeAll:
+		return true
+	case control.ScopeZone:
+		return a.Zone == b.Zone
+	case control.ScopeCell:
+		return a.Zone == b.Zone && a.Cell == b.Cell
+	}
+	return a == b
+}
+
+// isReady reports whether new work may be sent to a worker.
+func (w *Worker) isReady() bool { return w.State == control.Ready }
+
+// CheckFirstByte returns rules.Allowed if the first byte of an attempt may be sent at now, in a message whose deadline was encoded
+// at encodedAt and that has been encoded again so many times. What it forbids is counted as held back: events overtook the
+// attempt in the send queue, which is no fault.
+func (a *Attempt) CheckFirstByte(now, encodedAt float64, renewals int) rules.Reason {
+	facts := a.Request.attemptFacts(a.Worker, a.Index)
+	facts.DedupUntil = a.SendDeadline
+	reason := rules.CheckFirstByte(now, encodedAt, renewals, facts, a.Worker.isReady())
+	if reason != rules.Allowed {
+		a.gateway.Metrics.heldBack.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
+		a.gateway.RecordEvent("attempt_held_back", reason.String(), a.Request, a.Worker, now-encodedAt)
+	}
+	return reason
+}
+
+// recordViolation counts and logs an action of the control module that a rule forbids; it is not carried out. The request
+// and the worker may be nil.
+func (g *Gateway) recordViolation(reason rules.Reason, action string, r *Request, w *Worker) {
+	g.Metrics.violations.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
+	g.RecordEvent("rule_violation", reason.String(), r, w, 0)
+	e := g.log.Error().Int("rule", reason.Rule()).Stringer("reason", reason).Str("action", action)
+	if r != nil {
+		e = e.Str("request_id", string(g.appendRequestID(nil, r))).Bytes("trace", r.traceID[:])
+	}
+	if w != nil {
+		e = e.Str("worker", w.Name)
+	}
+	e.Msg("rule violation barred")
+}
