--- a/control/admission.go
+++ b/control/admission.go
@@ -2,78 +2,93 @@
 
 import "math"
 
-// RequestArrived takes a request in: it is placed, held or answered at once.
-func (d *Dispatcher) RequestArrived(q Request) {
-	r := d.inFlight.acquire(q.ID)
-	r.group = d.groups[min(int(q.Group), len(d.groups)-1)]
-	m := d.models[q.Model]
-	if m == nil {
-		d.forgetModels(modelsMax)
-		m = &model{id: q.Model, group: r.group, runTime: r.group.runTime, loadTime: r.group.loadTime}
-		d.models[q.Model] = m
-	}
-	if q.LoadTimeHint > 0 && q.LoadTimeHint < never && !m.loadKnown {
-		m.loadTime = q.LoadTimeHint
-	}
-	m.recent, m.recentAt = 1+m.recent*math.Exp((m.recentAt-d.now)/popularitySpan), d.now
-	d.recent, d.recentAt = 1+d.recent*math.Exp((d.recentAt-d.now)/popularitySpan), d.now
-	r.model, r.arrivedAt, r.workHint = m, d.now, q.WorkHint
-	d.sparseTraffic = d.requestRate() < sparseRate*float64(d.readyWorkers)
-	if m.preferred = 1; d.sparseTraffic { // queues are seen too late: as many as keep its share low
-		share := m.recent * float64(d.readyWorkers) / (preferredShare * (d.recent + preferredMin))
-		m.preferred = min(1+int(share), max(1, d.readyWorkers/2))
-	}
-	r.clientRetry, r.notAfter = q.ClientRetry, d.now+r.group.timeout
-	if q.Deadline < r.notAfter { // not so where it is no number
-		r.notAfter = q.Deadline
+const answerMarginMin = 0.02 // s kept of the client's time, on top of two ticks: two sweeps
+
+// RequestArrived admits a request: it is placed, held or answered at once.
+func (d *Dispatcher) RequestArrived(arrival Request) {
+	req := d.inFlight.acquire(arrival.ID)
+	groupIndex := min(int(arrival.Group), len(d.groups)-1)
+	req.group = d.groups[groupIndex]
+	req.model = d.requestedModel(arrival, req.group)
+	req.arrivedAt, req.workHint = d.now, arrival.WorkHint
+	d.measurePopularity(req.model)
+	req.clientRetry = arrival.ClientRetry
+	req.deadline = d.now + req.group.timeout
+	if arrival.Deadline < req.deadline { // false for NaN
+		req.deadline = arrival.Deadline
 	}
-	work := r.group.meanWork
-	if q.WorkHint > 0 && q.WorkHint < never {
-		work = q.WorkHint
-		r.group.meanWork += smoothing * (work - r.group.meanWork)
+	work := req.group.estimateWork(arrival.WorkHint)
+	req.objective = math.Min(req.group.slo+req.group.sloStretch*work, req.group.timeout)
+	req.trafficClass = groupIndex * d.tenantClasses
+	if int(arrival.Tenant) < len(d.tenants) {
+		req.trafficClass += int(arrival.Tenant) % d.tenantClasses
+		req.overQuota = d.tenants[arrival.Tenant].overQuota(d.now)
 	}
-	r.slo = math.Min(r.group.slo+r.group.sloStretch*work, r.group.timeout)
-	r.class = min(int(q.Group), len(d.groups)-1) * d.tenantClasses
-	if int(q.Tenant) < len(d.tenants) {
-		r.class += int(q.Tenant) % d.tenantClasses
-		r.overQuota = d.tenants[q.Tenant].overQuota(d.now)
+	d.retryBudget.earn()
+	d.loadBudget.countRequest(d.now)
+	if d.now >= d.answerBy(req) {
+		d.giveUp(req) // its time ran out before it arrived, as after a stall: the next sweep would be too late
+		return
 	}
-	earned := retryEarnedMin + (retryEarned-retryEarnedMin)*d.retrySuccess
-	d.retryTokens = math.Min(retryTokensMax, d.retryTokens+earned)
-	if span := d.loadWindow; span > 0 {
-		d.loadRation.count(d.now, span)
-		d.loadRation.taken[rationParts]++
+	d.place(req)
+}
+
+// requestedModel returns the record of the model that a request is for.
+func (d *Dispatcher) requestedModel(arrival Request, group *modelGroup) *model {
+	requested := d.models.byID[arrival.Model]
+	if requested == nil {
+		d.models.evict(modelsMax, &d.inFlight)
+		requested = &model{id: arrival.Model, group: group, runTime: group.runTime, loadTime: group.loadTime}
+		d.models.byID[arrival.Model] = requested
 	}
-	if d.now >= r.notAfter-d.answerMargin() {
-		d.giveUp(r) // it came with its time up, after a stall before us: the next look would be too late
-		return
+	if isHint(arrival.LoadTimeHint) && !requested.loadKnown {
+		requested.loadTime = arrival.LoadTimeHint
 	}
-	d.place(r)
+	return requested
 }
 
-// answerMargin is how long before the client's time is up the final answer goes out.
+// isHint reports whether a duration in a request is usable: the wire sends 0 where it is unknown.
+func isHint(hint Seconds) bool { return hint > 0 && hint < never }
+
+// answerBy returns when a request must have its final answer from this dispatcher, before the client's deadline.
+func (d *Dispatcher) answerBy(req *request) Seconds { return req.deadline - d.answerMargin() }
+
+// answerMargin returns how long before the deadline the final answer is sent.
 func (d *Dispatcher) answerMargin() Seconds { return answerMarginMin + 2*d.tick }
 
-// exhausted tells whether the rules bar every retry of this request for good, to any worker: to hold
-// it would only keep its answer back.
-func (d *Dispatcher) exhausted(r *request) bool {
-	a := r.mayHaveRun()
-	return r.pending == 0 && (r.attempted >= d.maxAttempts ||
-		a != nil && r.group.effect != Retriable && !d.withinDedupWindow(r, a))
+// giveUp answers a request for good, at once: rejected where a repeat is harmless, else failed.
+func (d *Dispatcher) giveUp(req *request) {
+	d.outbox.addRequest(req)
+	req.releaseHold()
+	req.state = stateFail
+	if d.mayShed(req) {
+		req.state = stateShed
+	}
 }
 
-// mayShed tells whether the client may be told that trying again is harmless (rule 2).
-func (d *Dispatcher) mayShed(r *request) bool {
-	a := r.mayHaveRun()
-	return !r.streaming && (a == nil || r.group.effect == Retriable ||
-		r.group.scope == ScopeAll && d.withinDedupWindow(r, a))
+// finish records that the final answer is given.
+func (d *Dispatcher) finish(req *request) {
+	req.releaseHold()
+	if req.state == stateAttempt {
+		d.retractAttempt(req)
+	}
+	req.state = stateDone
+	d.outbox.addRequest(req)
 }
 
-// giveUp answers a request for good, at once.
-func (d *Dispatcher) giveUp(r *request) {
-	d.markChanged(r)
-	r.unhold()
-	if r.state = stateFail; d.mayShed(r) {
-		r.state = stateShed
+// admits reports whether a worker may receive an attempt now: one that is warming up within our part of its budget
+// (rule 4), one that is ejected within its recovery ramp, and none that has just rejected requests.
+func (d *Dispatcher) admits(req *request, target *worker) bool {
+	if capacity := d.slowStart.capacityShare(d.now, target.StartedAt); capacity < 1 && !d.admitsWarmingUp(req, target, capacity) {
+		return false
 	}
+	return target.outlier.admits(d.now, req.group.effect, d.workers.mostEjected()) &&
+		target.outlierByClass[req.trafficClass].admits(d.now, req.group.effect, false)
+}
+
+// chargeAdmission records that an attempt uses a turn of a worker that is warming up or ejected.
+func (d *Dispatcher) chargeAdmission(req *request, target *worker) {
+	d.chargeWarmup(target)
+	target.outlier.chargeAttempt(d.now, &d.rnd)
+	target.outlierByClass[req.trafficClass].chargeAttempt(d.now, &d.rnd)
 }
--- a/control/answer_test.go
+++ b/control/answer_test.go
@@ -38,7 +38,7 @@
 
 // mayGoOn tells whether the rules let a request go to any worker now.
 func (d *Dispatcher) mayGoOn(r *request) bool {
-	for _, w := range d.workers {
+	for _, w := range d.workers.all {
 		if d.allowed(r, w) {
 			return true
 		}
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -2,82 +2,95 @@
 
 import "math"
 
-// probeCandidates asks some preferred workers of the model, by chance, what they hold, where that is allowed,
-// own traffic is too thin to tell and no report is new; the request is held for the answers, a sweep or two.
-// Fewer or none are asked where a probe is priced above what it gains: all dispatchers pay for theirs.
-func (d *Dispatcher) probeCandidates(r *request) bool {
-	if r.probed || r.attempted > 0 || !d.sparseTraffic || len(d.inFlightFields) == 0 || !d.probing {
-		return false
-	}
-	n := min(len(d.candidates), max(r.model.preferred, probeCount))
-	for i := range min(n, d.probesMax) {
-		j := i + int(d.rnd.float()*float64(n-i))
-		d.candidates[i], d.candidates[j] = d.candidates[j], d.candidates[i]
-		if w := d.candidates[i]; w.reportedAt < d.now-probeMaxAge {
-			d.wantedProbes = append(d.wantedProbes, w)
-			r.probed = true
-		}
-	}
-	return r.probed
+const (
+	estimateSmoothing = 0.1  // weight of a new value in run time, load time and success estimates: about the last ten count
+	initialLoadTime   = 2.0  // s, load time of a model before any hint or load (design)
+	initialRunTime    = 0.25 // of the latency objective: run time of a model group before any answer
+	initialRunTimeAll = 0.25 // s, run time over all model groups before any answer
+	peerWorkWindow    = 1.0  // s over which own work at a worker is smoothed to stand for a peer's
+	workerCores       = 4.0  // requests a worker runs without slowing down, which is not reported; 2 lost
+)
+
+// smoothingWeight caches the weight of a new value after some time, as most workers are updated at the same times.
+type smoothingWeight struct {
+	from, to Seconds
+	weight   float64
 }
 
-// takeReport takes what a worker reports to hold; those that wait there count twice where told apart.
-func (d *Dispatcher) takeReport(w *worker, told []float64, weight float64) {
-	held := 0.0
-	for _, i := range d.inFlightFields {
-		if i >= len(told) {
-			return
-		}
-		held += told[i]
+// between returns the weight of the newer value in an average over window.
+func (s *smoothingWeight) between(from, to, window Seconds) float64 {
+	if s.from != from || s.to != to {
+		s.from, s.to = from, to
+		s.weight = 1 - math.Exp((from-to)/window)
 	}
-	if !(held >= 0 && held < never) {
-		return
-	}
-	w.reported = d.estimatedInFlight(w)
-	w.reported, w.reportedAt = w.reported+weight*(held-w.reported), d.now
+	return s.weight
 }
 
-// queuedWork is the run time queued at a worker: ours, and for peers' what it reports where own traffic is
-// sparse, else for each as much as ours is there over time, since all prefer the same workers for a model.
-func (d *Dispatcher) queuedWork(w *worker) Seconds {
+// updateQueuedWork returns the run time queued at a worker, and brings the smoothed own work up to now. Peers' work is
+// taken from its load reports where own traffic is sparse; otherwise each peer is assumed to queue as much there as this
+// dispatcher does over time, since all prefer the same workers for a model.
+func (d *Dispatcher) updateQueuedWork(on *worker) Seconds {
+	l := &on.ledger
 	if d.sparseTraffic && len(d.inFlightFields) > 0 {
-		return max(w.queued, d.estimatedInFlight(w)*d.runTime/workerCores)
+		return max(l.queued, d.estimatedInFlight(on)*d.runTime/workerCores)
+	}
+	own := l.queued + l.stillAbandoned(d.now, d.runTime)*d.runTime
+	if d.dispatchers > 1 && l.meanQueuedAt < d.now {
+		l.meanQueued += (own - l.meanQueued) * d.peerWeight.between(l.meanQueuedAt, d.now, peerWorkWindow)
+		l.meanQueuedAt = d.now
 	}
-	own := w.queued + w.stillAbandoned(d.now, d.runTime)*d.runTime
-	if d.dispatchers > 1 && w.meanQueuedAt < d.now {
-		if d.meanFrom != w.meanQueuedAt || d.meanTo != d.now { // most were looked at together the last time too
-			d.meanFrom, d.meanTo = w.meanQueuedAt, d.now
-			d.meanWeight = 1 - math.Exp((d.meanFrom-d.meanTo)/peerWorkSpan)
+	return own + (d.dispatchers-1)*l.meanQueued
+}
+
+// learn updates the estimates from a successful attempt. One that waited for a load it did not start reveals neither.
+func (d *Dispatcher) learn(req *request, a *attempt, result AttemptResult) {
+	requested, group := req.model, req.group
+	switch {
+	case result.ModelState == ModelWarm || result.ModelState == ModelStateUnknown && !a.loading:
+		requested.learnRunTime(result.Duration)
+		d.runTime += estimateSmoothing / 2 * (result.Duration - d.runTime)
+		group.learnRunTime(result.Duration)
+		if req.workHint == 0 {
+			group.learnWork(result.Duration)
 		}
-		w.meanQueued += (own - w.meanQueued) * d.meanWeight
-		w.meanQueuedAt = d.now
+	case result.ModelState == LoadStarted:
+		requested.learnLoadTime(math.Max(0, result.Duration-requested.runTime))
 	}
-	return own + (d.dispatchers-1)*w.meanQueued
 }
 
-// estimatedInFlight is how many requests a worker holds by its reports, drawn as they age to what the fleet
-// must hold on average by Little's law (the mean of the reports themselves leans to the busy workers).
-func (d *Dispatcher) estimatedInFlight(w *worker) float64 {
-	mean := d.dispatchers * d.requestRate() * d.runTime / math.Max(1, float64(d.readyWorkers))
-	return mean + (w.reported-mean)*math.Exp((w.reportedAt-d.now)/reportSpan)
+func (m *model) learnRunTime(observed Seconds) {
+	m.runTime = smoothed(m.runTime, observed, m.runKnown)
+	m.runKnown = true
 }
 
-func (d *Dispatcher) learn(r *request, f *attempt, o AttemptResult) {
-	m, g := r.model, r.group
-	switch {
-	case o.ModelState == ModelWarm || o.ModelState == ModelStateUnknown && !f.loading:
-		smooth(&m.runTime, &m.runKnown, o.Duration, smoothing)
-		d.runTime += smoothing / 2 * (o.Duration - d.runTime)
-		smooth(&g.runTime, &g.runKnown, o.Duration, smoothing)
-		if r.workHint == 0 {
-			g.meanWork += smoothing * (o.Duration - g.meanWork)
-		}
-	case o.ModelState == LoadStarted:
-		d.learnLoadTime(m, math.Max(0, o.Duration-m.runTime))
+func (m *model) learnLoadTime(observed Seconds) {
+	m.loadTime = smoothed(m.loadTime, observed, m.loadKnown)
+	m.loadKnown = true
+	m.group.loadTime += estimateSmoothing * (observed - m.group.loadTime)
+}
+
+func (g *modelGroup) learnRunTime(observed Seconds) {
+	g.runTime = smoothed(g.runTime, observed, g.runKnown)
+	g.runKnown = true
+}
+
+func (g *modelGroup) learnWork(observed Seconds) {
+	g.meanWork += estimateSmoothing * (observed - g.meanWork)
+}
+
+// estimateWork returns the work of a new request: its hint, which is learned from, or else the mean of its group.
+func (g *modelGroup) estimateWork(hint Seconds) Seconds {
+	if !isHint(hint) {
+		return g.meanWork
 	}
+	g.learnWork(hint)
+	return hint
 }
 
-func (d *Dispatcher) learnLoadTime(m *model, took Seconds) {
-	smooth(&m.loadTime, &m.loadKnown, took, smoothing)
-	m.group.loadTime += smoothing * (took - m.group.loadTime)
+// smoothed returns an estimate moved towards an observation. The first observation replaces the initial guess.
+func smoothed(estimate, observed Seconds, known bool) Seconds {
+	if !known {
+		estimate = observed
+	}
+	return estimate + estimateSmoothing*(observed-estimate)
 }
--- a/control/forget_test.go
+++ b/control/forget_test.go
@@ -34,15 +34,15 @@
 		answer()
 		at(0.01, func() { d.TimerFired(0) })
 	}
-	if len(d.workers) > 400 || len(d.workersByID) != len(d.workers) || d.nextIndex > 600 { // two days in the list, and the next as it comes
-		t.Errorf("%d workers, %d known, %d indexes after 6,000 replaced", len(d.workers), len(d.workersByID), d.nextIndex)
+	if len(d.workers.all) > 400 || len(d.workers.byID) != len(d.workers.all) || d.workers.nextIndex > 600 { // two days in the list, and the next as it comes
+		t.Errorf("%d workers, %d known, %d indexes after 6,000 replaced", len(d.workers.all), len(d.workers.byID), d.workers.nextIndex)
 	}
-	for _, m := range d.models {
+	for _, m := range d.models.byID {
 		if len(m.replicas) > 600 {
 			t.Fatalf("%d places", len(m.replicas))
 		}
 		for _, rep := range m.replicas {
-			if rep != nil && d.workersByID[rep.worker.ID] != rep.worker {
+			if rep != nil && d.workers.byID[rep.worker.ID] != rep.worker {
 				t.Fatal("a place at a worker that is forgotten")
 			}
 		}
@@ -55,8 +55,8 @@
 		}
 	}
 	answer()
-	if len(d.models) > modelsMax+1 {
-		t.Errorf("%d models are kept", len(d.models))
+	if len(d.models.byID) > modelsMax+1 {
+		t.Errorf("%d models are kept", len(d.models.byID))
 	}
 	before := a.n
 	for range 3_000 { // a burst, held while nothing is answered
@@ -73,7 +73,7 @@
 		at(0.01, func() { d.TimerFired(0) })
 	}
 	at(0.01, func() { d.TimerFired(0) })
-	if len(d.inFlight.slots) > tableMin || a.n != before {
+	if len(d.inFlight.slots) > requestTableMin || a.n != before {
 		t.Errorf("%d places of the slab after the burst; %d shed", len(d.inFlight.slots), a.n-before)
 	}
 	ask(5) // and it goes on
--- /dev/null
+++ b/control/loadbudget.go
@@ -0,0 +1,58 @@
+package control
+
+// loadBudgetSlots is the number of slots that the window of load orders is divided into; a slot is counted as a whole.
+const loadBudgetSlots = 16
+
+// loadBudget limits load orders over a sliding window to a base plus a share of the requests that arrived in it (rule 5).
+type loadBudget struct {
+	window     Seconds // 0 for no limit
+	base       float64 // orders allowed without any request
+	perRequest float64 // orders allowed for each request
+
+	orders, requests [loadBudgetSlots + 1]float64 // by slot, the oldest first
+	newestSlot       int64                        // number of the last slot, counted from time 0
+}
+
+// countRequest records the arrival of a request.
+func (b *loadBudget) countRequest(now Seconds) {
+	if b.window > 0 {
+		b.advance(now)
+		b.requests[loadBudgetSlots]++
+	}
+}
+
+// takeOrder reports whether the budget has room for a load order, and records the order if so.
+func (b *loadBudget) takeOrder(now Seconds) bool {
+	if b.window <= 0 {
+		return true
+	}
+	b.advance(now)
+	if orders, requests := b.totals(); orders+1 > b.base+b.perRequest*requests {
+		return false
+	}
+	b.orders[loadBudgetSlots]++
+	return true
+}
+
+// advance moves the window on to now.
+func (b *loadBudget) advance(now Seconds) {
+	current := int64(now / b.window * loadBudgetSlots)
+	for b.newestSlot = max(b.newestSlot, current-loadBudgetSlots-1); b.newestSlot < current; b.newestSlot++ {
+		copy(b.orders[:], b.orders[1:])
+		copy(b.requests[:], b.requests[1:])
+		b.orders[loadBudgetSlots] = 0
+		b.requests[loadBudgetSlots] = 0
+	}
+}
+
+// totals returns what is in the window. Part of the oldest slot has left it already: that slot counts for orders and not
+// for requests, so that the budget errs on the strict side.
+func (b *loadBudget) totals() (orders, requests float64) {
+	for i := range b.orders {
+		orders += b.orders[i]
+		if i > 0 {
+			requests += b.requests[i]
+		}
+	}
+	return orders, requests
+}
--- a/control/membership.go
+++ b/control/membership.go
@@ -2,52 +2,81 @@
 
 import "math"
 
-// UpdateWorkers takes a list of workers, or the word that a call to discovery failed.
+const forgetGoneAfter = 300 // s after which a worker that is gone is forgotten: one that restarts is back by then
+
+// UpdateWorkers applies a watch event of the list of workers, or records that discovery could not be reached.
 func (d *Dispatcher) UpdateWorkers(kind WorkerListKind, _ uint32, list []WorkerInfo) {
 	if kind == ListFailed {
-		d.subscribeAt = d.now + d.subscribeBackoff
-		d.subscribeBackoff = math.Min(2*d.subscribeBackoff, d.askEvery)
+		d.subscription.failed(d.now)
 		return
-	} else if kind != ListCached {
-		d.subscribeBackoff = subscribeBackoffMin
+	}
+	if kind != ListCached {
+		d.subscription.succeeded()
 	}
 	if kind != ListDelta {
-		for _, w := range d.workers {
+		for _, w := range d.workers.all {
 			w.State = Gone
 		}
 	}
-	for _, l := range list {
-		w := d.workersByID[l.ID]
-		if w == nil {
-			w = &worker{WorkerInfo: l, index: d.allocIndex(), coldNextAt: math.Inf(-1), reportedAt: math.Inf(-1),
-				goneAt: math.Inf(1), classes: make([]health, len(d.groups)*d.tenantClasses)}
-			d.workersByID[l.ID] = w
-			d.workers = append(d.workers, w)
-		} else if l.StartedAt > w.StartedAt {
-			d.restarted(w)
-		}
-		w.WorkerInfo = l
+	for _, info := range list {
+		d.updateWorker(info)
 	}
-	d.forgetWorkers(forgetGoneAfter)
-	d.countWorkers()
-	d.heardNews = true
-	d.replan()
+	d.evictWorkers()
+	d.workers.recount()
+	d.held.eventSeen = true
+	d.replaceUnsentAttempts()
 	d.sweep()
 }
 
-// replan places anew what this batch placed at a worker that drains, is gone or has started anew by now.
-func (d *Dispatcher) replan() {
-	for _, r := range d.changedRequests {
-		if r.state != stateAttempt {
+// updateWorker applies one entry of the list.
+func (d *Dispatcher) updateWorker(info WorkerInfo) {
+	known := d.workers.byID[info.ID]
+	if known == nil {
+		d.workers.add(info, len(d.groups)*d.tenantClasses)
+		return
+	}
+	if info.StartedAt > known.StartedAt {
+		d.models.forgetWorker(known)
+		known.forgetHistory()
+	}
+	known.WorkerInfo = info
+}
+
+// evictWorkers forgets workers that have been gone for long and have no request in flight or held.
+func (d *Dispatcher) evictWorkers() {
+	for i := 0; i < len(d.workers.all); i++ {
+		w := d.workers.all[i]
+		if w.State != Gone {
+			w.goneAt = math.Inf(1)
+			continue
+		}
+		w.goneAt = math.Min(w.goneAt, d.now)
+		if d.now < w.goneAt+forgetGoneAfter || w.ledger.inFlight > 0 || d.inFlight.anyHeldFor(w) {
+			continue
+		}
+		for _, m := range d.models.byID {
+			m.dropReplica(w)
+		}
+		d.workers.remove(i)
+		i--
+	}
+}
+
+// replaceUnsentAttempts places anew the requests that this batch of events placed at a worker that is draining, gone or has
+// started anew by now.
+func (d *Dispatcher) replaceUnsentAttempts() {
+	for _, req := range d.outbox.requests {
+		if req.state != stateAttempt {
 			continue
 		}
-		a := &r.attempts[r.attempted-1]
-		if w := a.worker; w.State == Ready && a.sentAt > w.StartedAt {
+		a := req.latestAttempt()
+		if a.worker.State == Ready && a.sentAt > a.worker.StartedAt {
 			continue
 		}
-		d.unsend(r)
-		if r.state = statePending; r.pending == 0 { // else the hedge is left out
-			d.place(r)
+		d.retractAttempt(req)
+		req.state = statePending
+		if req.inFlight == 0 { // otherwise only the hedged request is dropped
+			d.place(req)
 		}
 	}
 }
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -1,94 +1,131 @@
 package control
 
-import "math"
+// RequestCancelled records that the client has left.
+func (d *Dispatcher) RequestCancelled(id RequestID) {
+	if req := d.inFlight.lookup(id); req != nil && req.state != stateDone {
+		d.finish(req)
+	}
+}
+
+// ResponseStarted records that the answer has begun to reach the client: no other attempt may answer from now on.
+func (d *Dispatcher) ResponseStarted(id RequestID, _ int, _ WorkerID, _ Seconds) {
+	if req := d.inFlight.lookup(id); req != nil {
+		req.streaming = true
+	}
+}
 
-// AttemptFinished learns from the end of an attempt, and goes on with its request where that has no answer yet.
-func (d *Dispatcher) AttemptFinished(o AttemptResult) {
-	r := d.inFlight.lookup(o.ID)
-	if r == nil || o.Attempt < 0 || o.Attempt >= r.attempted || r.attempts[o.Attempt].state != attemptPending {
+// AttemptFinished learns from the outcome of an attempt, and goes on with its request where that has no answer yet.
+func (d *Dispatcher) AttemptFinished(result AttemptResult) {
+	req, a := d.pendingAttempt(result.ID, result.Attempt)
+	if a == nil {
 		return
 	}
-	a := &r.attempts[o.Attempt]
-	w, rep := a.worker, r.model.replica(a.worker)
-	d.heardNews = true
-	d.queuedWork(w)
-	d.settleAttempt(r, a, rep)
-	if a.state = attemptMayHaveRun; o.Result.NeverRan() {
+	target := req.model.replica(a.worker)
+	d.held.eventSeen = true
+	d.updateQueuedWork(a.worker)
+	req.releaseAttempt(a, target)
+	a.state = attemptMayHaveRun
+	if result.Result.NeverRan() {
 		a.state = attemptNeverRan
 	}
-	if class := &w.classes[r.class]; o.Result.FromWorker() {
-		class.answeredAt, class.answeredWell = d.now, o.Result == Succeeded || o.Result == ModelNotLoaded
-	}
-	d.takeReport(w, o.LoadReport, reportSmoothing)
-	if o.Result == Succeeded && o.Attempt > 0 {
-		d.retrySuccess += smoothing * (1 - d.retrySuccess)
-	} else if o.Attempt > 0 && o.Result != Cancelled && o.Result != ModelNotLoaded {
-		d.retrySuccess -= smoothing * d.retrySuccess
-	}
-	if o.Result == Cancelled || o.Result == TimedOut {
-		w.abandon(d.now, d.runTime) // it may work on: else an impatient crowd would seem to cost nothing
-	}
-	switch o.Result {
-	case Succeeded:
-		d.returned(r, a, o)
+	d.recordOutcome(req, a, result)
+	if result.Result == Succeeded {
+		d.attemptSucceeded(req, a, target, result)
 		return
-	case ModelNotLoaded:
-		rep.warmUntil = math.Inf(-1)
-		if r.state != stateDone && !o.RequestAnswered && o.ModelState != LoadFailed && d.orderLoad(rep) {
-			if d.hold(r, rep); d.exhausted(r) {
-				d.giveUp(r)
-			}
+	}
+	if result.Result == ModelNotLoaded {
+		target.markCold()
+		if req.state != stateDone && !result.RequestAnswered && result.ModelState != LoadFailed && d.orderLoad(target) {
+			d.holdForLoad(req, target)
 			return
 		}
-	case AtCapacity:
-		d.rest(r, a)
-	case WorkerError, TimedOut, ConnectFailed, ConnectionReset:
-		if o.ModelState == LoadFailed {
-			rep.warmUntil = math.Inf(-1)
-		} else if o.Result != TimedOut || d.now < r.notAfter-d.answerMargin() {
-			d.recordResult(d.failureScope(w, r.class, a.sentAt-failureScopeSpan), false)
-		}
+	} else {
+		d.attributeFailure(req, a, target, result)
 	}
-	d.loadSettled(rep)
-	d.releaseHeld(rep, false)
-	if o.RequestAnswered || r.state == stateDone {
-		d.finish(r)
-	} else if r.pending == 0 && r.state != stateHeld {
-		d.retry(r)
+	target.finishLoad()
+	d.releaseHeld(target, false)
+	d.continueAfterFailure(req, result.RequestAnswered)
+}
+
+// pendingAttempt returns an attempt that is in flight, and its request; nil for any other.
+func (d *Dispatcher) pendingAttempt(id RequestID, number int) (*request, *attempt) {
+	req := d.inFlight.lookup(id)
+	if req == nil || number < 0 || number >= req.attempted || req.attempts[number].state != attemptPending {
+		return nil, nil
 	}
+	return req, &req.attempts[number]
 }
 
-// returned learns from a good answer, and lets those held for it go.
-func (d *Dispatcher) returned(r *request, a *attempt, o AttemptResult) {
-	w, rep := a.worker, r.model.replica(a.worker)
-	d.learn(r, a, o)
-	d.recordResult(&w.health, true)
-	d.recordResult(&w.classes[r.class], true)
-	if a.sentAt > w.StartedAt {
-		rep.warmUntil = d.now + d.keepAlive
+// recordOutcome records what any outcome reveals: of the worker, its load, and the success of retries.
+func (d *Dispatcher) recordOutcome(req *request, a *attempt, result AttemptResult) {
+	if result.Result.FromWorker() {
+		answeredWell := result.Result == Succeeded || result.Result == ModelNotLoaded
+		a.worker.outlierByClass[req.trafficClass].recordAnswer(d.now, answeredWell)
+	}
+	d.recordLoadReport(a.worker, result.LoadReport, reportSmoothing)
+	if result.Attempt > 0 {
+		d.retryBudget.recordResult(result.Result)
+	}
+	if result.Result == Cancelled || result.Result == TimedOut {
+		// The worker may go on with it: otherwise clients that leave early would seem to cost nothing.
+		a.worker.ledger.recordAbandoned(d.now, d.runTime)
+	}
+}
+
+// attemptSucceeded learns from a good answer, and releases the requests held for the replica.
+func (d *Dispatcher) attemptSucceeded(req *request, a *attempt, target *replica, result AttemptResult) {
+	d.learn(req, a, result)
+	d.recordSuccess(&a.worker.outlier)
+	d.recordSuccess(&a.worker.outlierByClass[req.trafficClass])
+	if a.sentAt > a.worker.StartedAt {
+		target.warmUntil = d.now + d.keepAlive
+	}
+	target.finishLoad()
+	d.releaseHeld(target, true)
+	d.finish(req)
+}
+
+// holdForLoad holds a request for a load order, or answers it where no attempt could follow the load.
+func (d *Dispatcher) holdForLoad(req *request, target *replica) {
+	d.hold(req, target)
+	if d.attemptsExhausted(req) {
+		d.giveUp(req)
+	}
+}
+
+// attributeFailure records a rejection or a failure where it belongs: with the model, the worker, or one traffic class at
+// the worker. A timeout at the client's deadline is no fault of the worker.
+func (d *Dispatcher) attributeFailure(req *request, a *attempt, target *replica, result AttemptResult) {
+	switch result.Result {
+	case AtCapacity:
+		d.backOff(req, a)
+	case WorkerError, TimedOut, ConnectFailed, ConnectionReset:
+		if result.ModelState == LoadFailed {
+			target.markCold()
+		} else if result.Result != TimedOut || d.now < d.answerBy(req) {
+			d.recordFailure(a.worker.failureScope(req.trafficClass, a.sentAt-failureScopeWindow))
+		}
 	}
-	d.loadSettled(rep)
-	d.releaseHeld(rep, true)
-	d.finish(r)
 }
 
-// rest gives a worker that turned an attempt away some time without new work of that class, or without loads.
-func (d *Dispatcher) rest(r *request, a *attempt) {
-	h := d.failureScope(a.worker, r.class, a.sentAt-failureScopeSpan)
-	a.rejected, h.fullCount = d.sparseTraffic, h.fullCount+1
-	until := d.now + math.Min(fullBackoff*math.Exp2(h.fullCount-1), fullBackoffMax)
-	if a.loading && r.model.preferred == 1 { // no room for the copy, or too many loads: warm copies may do well
-		a.worker.noLoadUntil = until
+// backOff gives a worker that rejected an attempt some time without new requests of that scope. Where the attempt needed a
+// load, it is given time without loads only: it lacks memory, or performs too many loads, and its warm replicas may do well.
+func (d *Dispatcher) backOff(req *request, a *attempt) {
+	scope := a.worker.failureScope(req.trafficClass, a.sentAt-failureScopeWindow)
+	a.rejected = d.sparseTraffic
+	until := scope.recordRejection(d.now)
+	if a.loading && req.model.preferred == 1 {
+		a.worker.loadBackoffUntil = until
 	} else {
-		h.fullUntil = until
+		scope.rejectedUntil = until
 	}
 }
 
-// ProbeFinished takes the report that answers a probe; requests held for it are placed.
-func (d *Dispatcher) ProbeFinished(o ProbeResult) {
-	if w := d.workersByID[o.Worker]; w != nil && o.Result == Succeeded {
-		d.takeReport(w, o.LoadReport, 1)
+// continueAfterFailure finishes a request that is answered, and retries one that has no other attempt in flight.
+func (d *Dispatcher) continueAfterFailure(req *request, answered bool) {
+	if answered || req.state == stateDone {
+		d.finish(req)
+	} else if req.inFlight == 0 && req.state != stateHeld {
+		d.retry(req)
 	}
-	d.heardNews = true
-	d.sweep()
 }
--- a/control/placement.go
+++ b/control/placement.go
@@ -1,219 +1,276 @@
 package control
 
-import "math"
+import (
+	"cmp"
+	"math"
+	"slices"
+)
 
-// place finds a replica for a request: in an open group, in a new one, or it is held until there is a worker.
-func (d *Dispatcher) place(r *request) {
-	if rep := d.joinOpenGroup(r); rep != nil {
-		if rep.joined++; rep.loading {
-			d.hold(r, rep)
+const (
+	concurrencyFleet = 24.0 // attempts of all dispatchers in flight at a worker: 12 idled quick workers, 36 was no better
+	concurrencyMin   = 4.0  // own attempts any worker may have in flight: peers' fall by chance; 1 lost with many of them
+	lowPriorityShare = 0.25 // of that limit for requests of little value by now; 0.5 lost in retry storms
+	preemptAge       = 0.25 // of the latency objective: how much younger a held request must be to preempt another
+	tieBand          = 3.0  // load times: costs nearer than that are ties; 1 lost where loads are scarce, 8 too
+	warmTieBand      = 2.0  // run times: costs of warm replicas nearer than that are ties
+	parallelLoads    = 4.0  // loads a worker performs in parallel, which is not reported: 2 idled it, 1 lost
+	workerSlots      = 10.0 // requests a worker runs together, slowed; 4 shed many
+	triedPenalty     = 1e6  // s added to the cost of a worker that was tried: it is chosen only if there is no other
+)
+
+// Flags of the rank of a candidate among ties, above the bits of its hash.
+const (
+	rankWarm        = 1 << 63 // a warm replica before any cold one, also where it has to be waited for
+	rankHasCapacity = 1 << 62
+)
+
+// placement is the state that one search for a worker leaves for the next steps, and for the next search.
+type placement struct {
+	candidates     []*worker // workers that may receive the request; the preferred ones first, in order, after markPreferred
+	number         uint64    // searches so far
+	admittingShare float64   // share of the ready workers that the last search found admitting
+}
+
+// place finds a replica for a request: in an open group, or in a new one; or it holds the request until there is one.
+func (d *Dispatcher) place(req *request) {
+	if joined := d.joinOpenGroup(req); joined != nil {
+		joined.group.joined++
+		if joined.loading {
+			d.hold(req, joined)
 		} else {
-			d.dispatch(r, rep)
+			d.dispatch(req, joined)
 		}
 		return
 	}
-	switch rep := d.leastLoaded(r, false); {
-	case rep == nil && r.pending == 0 && (r.tooLate || r.barred && r.attempted > 0):
-		d.giveUp(r)
-	case rep == nil || d.probeCandidates(r):
-		d.hold(r, nil)
+	switch target := d.leastLoaded(req, false); {
+	case target == nil && req.inFlight == 0 && (req.tooLate || req.unplaceable && req.attempted > 0):
+		d.giveUp(req)
+	case target == nil || d.probeCandidates(req):
+		d.hold(req, nil)
 	default:
-		rep.groupSeq, rep.members, rep.joined = rep.groupSeq+1, 0, 1
-		if rep.warmUntil < d.now && !rep.loading {
-			rep.loading, rep.startedAt, rep.loadCost = true, d.now, r.model.loadTime
-			rep.worker.pendingLoads += rep.loadCost
-		}
-		d.dispatch(r, rep)
+		target.openGroup(d.now)
+		d.dispatch(req, target)
 	}
 }
 
-// joinOpenGroup returns the replica with an open group that this request may join: under the limit, and own
-// requests there take less than a load would; of several, where they take least.
-func (d *Dispatcher) joinOpenGroup(r *request) *replica {
+// joinOpenGroup returns the replica whose open group a request may join, nil if there is none: the group is below its
+// limit, and own work queued there takes less than a load would. Of several, the one with least own work is returned.
+func (d *Dispatcher) joinOpenGroup(req *request) *replica {
 	var best *replica
-	for _, rep := range r.model.openGroups() {
-		if rep.joined >= groupLimit {
+	for _, open := range req.model.listOpenReplicas() {
+		if open.group.joined >= openGroupLimit {
 			continue
 		}
-		w := rep.worker
-		wait := d.queuedWork(w) + float64(rep.held)*r.model.runTime
-		if r.tried(w) || wait >= r.model.loadTime || !d.allowed(r, w) || !d.admits(r, w) || !d.hasCapacity(r, w) ||
-			d.now+wait/workerSlots+math.Min(r.model.runTime, r.slo)/2 > r.notAfter {
+		on := open.worker
+		wait := d.updateQueuedWork(on) + float64(open.held)*req.model.runTime
+		if req.tried(on) || wait >= req.model.loadTime || !d.accepts(req, on) ||
+			d.now+wait/workerSlots+math.Min(req.model.runTime, req.objective)/2 > req.deadline {
 			continue
 		}
-		if best == nil || w.queued < best.worker.queued {
-			best = rep
+		if best == nil || on.ledger.queued < best.worker.ledger.queued {
+			best = open
 		}
 	}
 	return best
 }
 
-// hasCapacity tells whether the worker is under its concurrency limit.
-func (d *Dispatcher) hasCapacity(r *request, w *worker) bool {
-	return w.concurrency(d.now, d.runTime) < d.concurrencyLimit(r)
+// accepts reports whether a worker may receive an attempt of a request now.
+func (d *Dispatcher) accepts(req *request, target *worker) bool {
+	return d.allowed(req, target) && d.admits(req, target) && d.hasCapacity(req, target)
+}
+
+// hasCapacity reports whether a worker is under its concurrency limit for a request.
+func (d *Dispatcher) hasCapacity(req *request, target *worker) bool {
+	return target.ledger.concurrency(d.now, d.runTime) < d.concurrencyLimit(req)
 }
 
-// concurrencyLimit is how many own attempts a worker may have out. Requests that can no longer be in time, or
-// are beyond their tenant's share, leave part of it to the others.
-func (d *Dispatcher) concurrencyLimit(r *request) float64 {
+// concurrencyLimit returns how many own attempts a worker may have in flight. Requests that can't meet their latency
+// objective any more, or exceed their tenant's quota, leave part of it to the others.
+func (d *Dispatcher) concurrencyLimit(req *request) float64 {
 	limit := max(concurrencyMin, concurrencyFleet/d.dispatchers)
-	if r.overQuota || r.clientRetry || d.now+r.model.runTime > r.arrivedAt+r.slo {
-		limit *= staleShare
+	if req.overQuota || req.clientRetry || d.now+req.model.runTime > req.arrivedAt+req.objective {
+		limit *= lowPriorityShare
 	}
 	return limit
 }
 
-// leastLoaded returns the replica with least queued work, load included; nil where the request has to wait.
-func (d *Dispatcher) leastLoaded(r *request, warmOnly bool) *replica {
-	m := r.model
-	resting, timely := d.queueCosts(r)
-	d.markPreferred(m)
-	best := d.cheapest(r, d.addLoadCosts(r, warmOnly))
-	r.tooLate = r.tooLate && best == nil && !resting
-	// A worker that turned a load away is waited for: left for another, its models are loaded twice, push others
-	// out, and the fleet has more to load than before. It harms where a worker has no room for long.
-	if best == nil || !d.hasCapacity(r, best) ||
-		r.attempted == 0 && !best.warm && (m.peek(best).noRoomUntil > d.now || best.noLoadUntil > d.now) {
+// leastLoaded returns the replica with the least work before it, its load included; nil where the request has to wait.
+// With warmOnly it considers warm replicas only.
+func (d *Dispatcher) leastLoaded(req *request, warmOnly bool) *replica {
+	backingOff, timely := d.scoreQueues(req)
+	d.markPreferred(req.model)
+	best := d.cheapest(req, d.scoreLoads(req, warmOnly))
+	req.tooLate = req.tooLate && best == nil && !backingOff
+	if best == nil || !d.hasCapacity(req, best) || req.attempted == 0 && d.loadBackingOff(req.model, best) {
 		if timely {
-			d.youngestTimely = math.Max(d.youngestTimely, r.arrivedAt)
+			d.held.noteTimely(req)
 		}
 		return nil
 	}
-	return m.replica(best)
+	return req.model.replica(best)
+}
+
+// loadBackingOff reports whether a worker would need a load that it, or the model's last load order there, has rejected.
+// Such a worker is waited for: if its models were loaded elsewhere they would be loaded twice and evict others, and the
+// fleet would have more to load than before. That harms where a worker stays without capacity for long.
+func (d *Dispatcher) loadBackingOff(requested *model, on *worker) bool {
+	return !on.score.warm && (requested.peek(on).noCapacityUntil > d.now || on.loadBackoffUntil > d.now)
 }
 
-// queueCosts sets each worker's cost: what the request would wait and run there without a load, +Inf where it
-// can't go now. It tells whether some worker merely rests, and whether one would answer within the SLO time.
-func (d *Dispatcher) queueCosts(r *request) (resting, timely bool) {
-	m, aim, until := r.model, r.arrivedAt+r.slo, r.notAfter
-	d.candidates, r.tooLate, r.barred = d.candidates[:0], false, true
-	if d.youngestTimely > math.Max(r.arrivedAt+preemptAge*r.slo, d.now-r.slo) {
-		until = math.Min(until, aim) // a younger one that is held could be in time: late answers feed an overload
+// scoreQueues sets each worker's cost: the time a request would wait and run there without a load, +Inf where it may not
+// be sent now. It reports whether some worker is merely backing off, and whether one would meet the latency objective.
+func (d *Dispatcher) scoreQueues(req *request) (backingOff, timely bool) {
+	requested, objectiveAt, latest := req.model, req.arrivedAt+req.objective, req.deadline
+	d.placement.candidates = d.placement.candidates[:0]
+	req.tooLate, req.unplaceable = false, true
+	if d.held.preempts(req, d.now) {
+		latest = math.Min(latest, objectiveAt)
 	}
 	admitting := 0.0
-	for _, w := range d.workers {
-		w.cost = math.Inf(1)
-		if !d.allowed(r, w) {
+	for _, w := range d.workers.all {
+		w.score.cost = math.Inf(1)
+		if !d.allowed(req, w) {
 			continue
 		}
-		r.barred = false
-		queue := d.queuedWork(w)
-		end := d.now + queue/workerSlots + min(m.runTime, r.slo)/2
-		timely = timely || end <= aim
-		late := end > until // the wait outlasts the client
-		if admits := d.admits(r, w); !admits || late {
-			resting, r.tooLate = resting || !admits, r.tooLate || late
+		req.unplaceable = false
+		queue := d.updateQueuedWork(w)
+		end := d.now + queue/workerSlots + min(requested.runTime, req.objective)/2
+		timely = timely || end <= objectiveAt
+		late := end > latest
+		if admits := d.admits(req, w); !admits || late {
+			backingOff = backingOff || !admits
+			req.tooLate = req.tooLate || late
 			continue
 		}
 		admitting++
-		w.cost = (queue + m.runTime) / d.capacityShare(w)
-		// A quick error must not make a worker look empty: its failures count as work to be done again.
-		w.cost += max(w.failureShare, w.classes[r.class].failureShare) * (m.loadTime + r.slo)
-		if r.tried(w) {
-			w.cost += triedPenalty
-		}
-		w.rank = hash(uint64(m.id)*0x9e3779b97f4a7c15 ^ uint64(w.ID))
-		d.candidates = append(d.candidates, w)
+		w.score.cost = (queue + requested.runTime) / d.slowStart.capacityShare(d.now, w.StartedAt)
+		// A quick error must not make a worker appear idle: its failures count as work to be repeated.
+		w.score.cost += max(w.outlier.failureRate, w.outlierByClass[req.trafficClass].failureRate) * (requested.loadTime + req.objective)
+		if req.tried(w) {
+			w.score.cost += triedPenalty
+		}
+		w.score.rank = preferenceRank(requested.id, w.ID)
+		d.placement.candidates = append(d.placement.candidates, w)
 	}
-	d.admittingShare = math.Min(1, math.Max(admitting, 1)/math.Max(1, float64(d.readyWorkers)))
-	return resting, timely
+	d.placement.admittingShare = math.Min(1, math.Max(admitting, 1)/math.Max(1, float64(d.workers.ready)))
+	return backingOff, timely
+}
+
+// preferenceRank orders the workers of a model, the preferred one highest. All dispatchers compute the same: they agree
+// without gossip where a model is loaded, and return to where a replica may still be.
+func preferenceRank(requested ModelID, on WorkerID) uint64 {
+	return hash(uint64(requested)*0x9e3779b97f4a7c15 ^ uint64(on))
 }
 
-// markPreferred marks the candidates that all dispatchers prefer for a model that should live on several.
-func (d *Dispatcher) markPreferred(m *model) {
+// markPreferred marks the candidates that all dispatchers prefer for a model that should be loaded on several workers.
+func (d *Dispatcher) markPreferred(requested *model) {
+	p := &d.placement
 	if d.sparseTraffic {
-		d.candidates = topRanked(d.candidates, max(m.preferred, probeCount))
+		p.candidates = topRanked(p.candidates, max(requested.preferred, probeCount))
 	}
-	if d.placements++; m.preferred > 1 {
-		for _, w := range d.candidates[:min(len(d.candidates), m.preferred)] {
-			w.preferredAt = d.placements
+	p.number++
+	if requested.preferred > 1 {
+		for _, w := range p.candidates[:min(len(p.candidates), requested.preferred)] {
+			w.score.preferredAt = p.number
 		}
 	}
 }
 
-// addLoadCosts adds a load to the cost of workers without a warm copy, and returns the lowest cost.
-func (d *Dispatcher) addLoadCosts(r *request, warmOnly bool) Seconds {
-	m, low := r.model, math.Inf(1)
-	for _, w := range d.workers {
-		if w.cost > math.MaxFloat64 {
+// scoreLoads adds a load to the cost of workers without a warm replica, and returns the lowest cost. Loads run beside the
+// work of warm replicas: those pending delay only another load.
+func (d *Dispatcher) scoreLoads(req *request, warmOnly bool) Seconds {
+	requested, lowest := req.model, math.Inf(1)
+	for _, w := range d.workers.all {
+		if w.score.cost > math.MaxFloat64 {
 			continue
 		}
-		if w.warm = m.peek(w).warmUntil >= d.now || w.preferredAt == d.placements; !w.warm {
-			// Loads run beside the work of warm copies: those pending hold up only another load.
-			w.cost += m.loadTime
-			if warmOnly || d.now+w.pendingLoads/parallelLoads > r.notAfter {
-				w.cost = math.Inf(1) // or the loads pending there outlast the client's time
+		w.score.warm = requested.peek(w).isWarm(d.now) || w.score.preferredAt == d.placement.number
+		if !w.score.warm {
+			w.score.cost += requested.loadTime
+			if warmOnly || d.now+w.ledger.pendingLoads/parallelLoads > req.deadline {
+				w.score.cost = math.Inf(1)
 			}
 		}
-		low = min(low, w.cost)
+		lowest = min(lowest, w.score.cost)
 	}
-	return low
+	return lowest
 }
 
-// cheapest picks among the workers whose costs are too near the lowest to tell apart. Ties go by a hash that
-// all dispatchers share: they agree unasked on where a model lives, and return to where a copy may still be.
-func (d *Dispatcher) cheapest(r *request, low Seconds) *worker {
+// cheapest returns the best of the workers whose costs are too near the lowest to tell apart, nil if there is none.
+func (d *Dispatcher) cheapest(req *request, lowest Seconds) *worker {
 	var best *worker
-	m, limit, top := r.model, d.concurrencyLimit(r), uint64(0)
-	band := low + tieBand*m.loadTime
-	for _, w := range d.workers {
-		if w.cost > band || w.cost > math.MaxFloat64 {
+	requested, limit, highest := req.model, d.concurrencyLimit(req), uint64(0)
+	band := lowest + tieBand*requested.loadTime
+	for _, w := range d.workers.all {
+		if w.score.cost > band || w.score.cost > math.MaxFloat64 {
 			continue
 		}
-		rank := w.rank >> 2
-		if w.warm {
-			if d.sparseTraffic { // by cost, ties by chance: peers see the same reports
-				rank = uint64(1e18 / (1 + w.cost + tieWarm*m.runTime*d.rnd.float()))
+		rank := w.score.rank >> 2
+		if w.score.warm {
+			if d.sparseTraffic { // by cost, ties by chance: peers see the same load reports
+				rank = uint64(1e18 / (1 + w.score.cost + warmTieBand*requested.runTime*d.rnd.float()))
 			}
-			rank |= 1 << 63 // a warm copy before any hash, also where it has to be waited for
+			rank |= rankWarm
 		}
-		if w.concurrency(d.now, d.runTime) < limit {
-			rank |= 1 << 62
+		if w.ledger.concurrency(d.now, d.runTime) < limit {
+			rank |= rankHasCapacity
 		}
-		if best == nil || rank > top {
-			best, top = w, rank
+		if best == nil || rank > highest {
+			best, highest = w, rank
 		}
 	}
 	return best
 }
 
-// dispatch wants an attempt at a replica and books it in the ledger.
-func (d *Dispatcher) dispatch(r *request, rep *replica) {
-	w, m := rep.worker, r.model
-	a := &r.attempts[r.attempted]
-	*a = attempt{worker: w, sentAt: d.now, runTime: m.runTime, groupSeq: rep.groupSeq}
-	a.expected = w.queued + m.runTime
-	if rep.warmUntil < d.now {
-		a.loading, a.expected = true, a.expected+m.loadTime+w.pendingLoads
-		w.pendingCold++
-	}
-	r.attempted, r.pending, r.state = r.attempted+1, r.pending+1, stateAttempt
-	d.markChanged(r)
-	d.queuedWork(w)
-	w.queued, w.pending = w.queued+a.runTime, w.pending+1
-	rep.members, rep.pending = rep.members+1, rep.pending+1
-	m.markOpen(rep)
-	d.chargeAdmission(r, w)
-}
-
-// releaseHeld lets those held for a replica go: to it where a copy stands there, else anew.
-func (d *Dispatcher) releaseHeld(rep *replica, stands bool) {
-	for i := 0; i < len(d.inFlight.slots) && rep.held > 0; i++ {
-		r := d.inFlight.slots[i]
-		if !r.live || r.heldFor != rep || r.state != stateHeld {
-			continue
-		}
-		r.unhold()
-		to, missed := rep, !stands && r.attempted > 0
-		if missed { // to a warm worker, or back to the client
-			to = d.leastLoaded(r, true)
+// topRanked returns the count workers of highest rank, and maybe some more, the highest first. Ranks are hashes: of a long
+// list, only the workers above the rank that about twice as many should exceed are sorted.
+func topRanked(list []*worker, count int) []*worker {
+	if expected := 2*count + 16; len(list) > 2*expected {
+		threshold := ^uint64(0) / uint64(len(list)) * uint64(len(list)-expected)
+		above := 0
+		for i, w := range list {
+			if w.score.rank >= threshold {
+				list[i], list[above] = list[above], w
+				above++
+			}
 		}
-		if to == nil {
-			d.giveUp(r)
-		} else if w := to.worker; (stands || missed) && d.allowed(r, w) && d.admits(r, w) && d.hasCapacity(r, w) {
-			d.dispatch(r, to)
-		} else {
-			d.place(r)
+		if above >= count {
+			list = list[:above]
 		}
 	}
+	slices.SortFunc(list, func(a, b *worker) int { return cmp.Compare(b.score.rank, a.score.rank) })
+	return list
+}
+
+// dispatch wants an attempt at a replica and reserves it in the ledgers.
+func (d *Dispatcher) dispatch(req *request, target *replica) {
+	on, requested := target.worker, req.model
+	a := &req.attempts[req.attempted]
+	*a = attempt{
+		worker:      on,
+		sentAt:      d.now,
+		runTime:     requested.runTime,
+		expected:    on.ledger.queued + requested.runTime,
+		groupNumber: target.group.number,
+	}
+	if !target.isWarm(d.now) {
+		a.loading = true
+		a.expected = a.expected + requested.loadTime + on.ledger.pendingLoads
+		on.ledger.loading++
+	}
+	req.attempted++
+	req.inFlight++
+	req.state = stateAttempt
+	d.outbox.addRequest(req)
+	d.updateQueuedWork(on)
+	on.ledger.reserve(a)
+	target.reserve()
+	d.chargeAdmission(req, on)
+}
+
+// retractAttempt takes back the latest attempt, which has not been sent yet.
+func (d *Dispatcher) retractAttempt(req *request) {
+	a := req.latestAttempt()
+	req.attempted--
+	req.releaseAttempt(a, req.model.replica(a.worker))
 }
--- /dev/null
+++ b/control/quota.go
@@ -0,0 +1,33 @@
+package control
+
+import "math"
+
+// tenantQuota is a token bucket that measures one tenant's traffic against this dispatcher's part of its quota.
+type tenantQuota struct {
+	rate      float64 // requests/s, never for a tenant without a quota
+	tokens    float64 // as of updatedAt
+	updatedAt Seconds
+}
+
+// newTenantQuotas returns a bucket per tenant. Each dispatcher is assumed to receive an equal part of a tenant's traffic.
+func newTenantQuotas(quotas []float64, dispatchers float64) []*tenantQuota {
+	var buckets []*tenantQuota
+	for _, quota := range quotas {
+		rate := quota / dispatchers
+		buckets = append(buckets, &tenantQuota{rate: rate, tokens: math.Max(1, rate)})
+	}
+	return buckets
+}
+
+// overQuota counts one request of the tenant and reports whether it exceeds the quota.
+func (q *tenantQuota) overQuota(now Seconds) bool {
+	if q.rate == never {
+		return false
+	}
+	depth := math.Max(1, q.rate) // with a rate below one a second the bucket would never hold a whole token
+	q.tokens = math.Min(depth, q.tokens+(now-q.updatedAt)*q.rate) - 1
+	q.updatedAt = now
+	over := q.tokens < 0
+	q.tokens = math.Max(0, q.tokens)
+	return over
+}
--- /dev/null
+++ b/control/rate.go
@@ -0,0 +1,48 @@
+package control
+
+import "math"
+
+const (
+	popularityWindow = 20.0 // s, time constant over which requests are counted: popularity lasts about as long
+	sparseRate       = 0.25 // own requests/s per worker below which own counts reveal little about the workers' queues
+)
+
+// recentCount counts events with exponential decay over popularityWindow.
+type recentCount struct {
+	value     float64 // as of updatedAt
+	updatedAt Seconds
+}
+
+// add counts one event.
+func (c *recentCount) add(now Seconds) {
+	c.value = 1 + c.value*math.Exp((c.updatedAt-now)/popularityWindow)
+	c.updatedAt = now
+}
+
+// arrivalRate measures the rate of requests that arrive at this dispatcher.
+type arrivalRate struct {
+	recent recentCount
+
+	// The rate is computed once per moment: one placement reads it for each worker.
+	cached      float64
+	cachedAt    Seconds
+	cachedCount float64 // the value of recent it was computed from
+}
+
+// perSecond returns the requests per second. Right after the start the window is as long as the dispatcher has been running.
+func (a *arrivalRate) perSecond(now Seconds) float64 {
+	if a.cachedAt != now || a.cachedCount != a.recent.value {
+		window := popularityWindow * (1 - math.Exp(-math.Max(1, now)/popularityWindow))
+		a.cached = a.recent.value * math.Exp((a.recent.updatedAt-now)/popularityWindow) / window
+		a.cachedAt, a.cachedCount = now, a.recent.value
+	}
+	return a.cached
+}
+
+// requestRate returns the requests per second that arrive at this dispatcher.
+func (d *Dispatcher) requestRate() float64 { return d.arrivals.perSecond(d.now) }
+
+// requestRatePerWorker returns the mean request rate that this dispatcher sends to one ready worker.
+func (d *Dispatcher) requestRatePerWorker() float64 {
+	return d.requestRate() / math.Max(1, float64(d.workers.ready))
+}
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -2,55 +2,64 @@
 
 import "math"
 
-// Reconcile emits the difference between the wanted state and what is out.
+// Reconcile emits the actions that lead from the actual to the desired state.
 func (d *Dispatcher) Reconcile() {
-	if d.now >= d.subscribeAt {
-		d.subscribeAt = math.Inf(1)
+	if d.subscription.takeDue(d.now) {
 		d.actions.SubscribeWorkerList(true)
 	}
 	for _, err := range d.settingErrors {
 		d.actions.Log(err.Error() + "; the default is used")
 	}
 	d.settingErrors = nil
-	for _, rep := range d.wantedOrders {
-		rep.orderWanted = false
-		if rep.worker.State == Ready {
-			rep.orderPending, rep.startedAt = true, d.now
-			d.actions.LoadModel(rep.worker.ID, rep.model.id, 1)
-		}
+	for _, target := range d.outbox.loadOrders {
+		d.emitLoadOrder(target)
 	}
-	for _, w := range d.wantedProbes {
+	for _, w := range d.outbox.probes {
 		d.actions.ProbeWorker(w.ID)
 	}
-	for _, r := range d.changedRequests {
-		r.dirty = false
-		switch r.state {
-		case stateAttempt:
-			d.actions.SendAttempt(r.id, r.attempts[r.attempted-1].worker.ID, 0)
-			r.state = statePending
-		case stateShed:
-			d.actions.Shed(r.id, math.Min(r.model.loadTime, d.retryAfterMax))
-			r.state = stateDone
-		case stateFail:
-			d.actions.Fail(r.id)
-			r.state = stateDone
-		}
-		if r.state != stateDone {
-			continue
-		}
-		for i := range r.attempts[:r.attempted] {
-			if a := &r.attempts[i]; a.state == attemptPending && d.cancel && !r.streaming {
-				d.actions.CancelAttempt(r.id, i)
-			}
-		}
-		if r.pending == 0 && r.live {
-			d.inFlight.remove(r)
-		}
+	for _, req := range d.outbox.requests {
+		d.emitRequest(req)
 	}
-	d.wantedOrders, d.wantedProbes = d.wantedOrders[:0], d.wantedProbes[:0]
-	d.changedRequests = d.changedRequests[:0]
-	if !d.timerSet && (len(d.inFlight.byID) > 0 || !math.IsInf(d.subscribeAt, 1)) {
-		d.timerSet = true
+	d.outbox.clear()
+	if !d.outbox.timerSet && (!d.inFlight.empty() || d.subscription.scheduled()) {
+		d.outbox.timerSet = true
 		d.actions.SetTimer(sweepInterval, 0)
 	}
 }
+
+// emitLoadOrder sends a load order, unless its worker has ceased to be ready since it was wanted.
+func (d *Dispatcher) emitLoadOrder(target *replica) {
+	target.orderWanted = false
+	if target.worker.State == Ready {
+		target.orderPending = true
+		target.startedAt = d.now
+		d.actions.LoadModel(target.worker.ID, target.model.id, 1)
+	}
+}
+
+// emitRequest sends, rejects or fails a request as desired. One that is done is removed with its last attempt.
+func (d *Dispatcher) emitRequest(req *request) {
+	req.changed = false
+	switch req.state {
+	case stateAttempt:
+		d.actions.SendAttempt(req.id, req.latestAttempt().worker.ID, 0)
+		req.state = statePending
+	case stateShed:
+		d.actions.Shed(req.id, math.Min(req.model.loadTime, d.retryAfterMax))
+		req.state = stateDone
+	case stateFail:
+		d.actions.Fail(req.id)
+		req.state = stateDone
+	}
+	if req.state != stateDone {
+		return
+	}
+	for i := range req.attempts[:req.attempted] {
+		if req.attempts[i].state == attemptPending && d.cancel && !req.streaming {
+			d.actions.CancelAttempt(req.id, i)
+		}
+	}
+	if req.inFlight == 0 && req.live {
+		d.inFlight.remove(req)
+	}
+}
--- a/control/request.go
+++ b/control/request.go
@@ -1,155 +1,80 @@
 package control
 
-import (
-	"math"
-)
-
 // maxAttempts is how many attempts one record can hold.
 const maxAttempts = 8
 
-// attemptState says what is known of an attempt.
+// attemptState is what is known of an attempt.
 type attemptState uint8
 
 const (
-	attemptPending    attemptState = iota // sent, no outcome yet
-	attemptNeverRan                       // known not to have run
-	attemptMayHaveRun                     // over, and may have run
+	attemptPending    attemptState = iota // in flight
+	attemptNeverRan                       // ended, known not to have run
+	attemptMayHaveRun                     // ended, and may have run
 )
 
 // attempt is one sending of a request to a worker.
 type attempt struct {
-	worker   *worker
-	sentAt   Seconds
-	expected Seconds // answer time expected when sent
-	runTime  Seconds // what the ledger counts for it
-	groupSeq uint32  // which open group of the replica it joined
-	state    attemptState
-	rejected bool // it was turned away
-	hedged   bool // a hedge was tried for it
-	loading  bool // it carries a load not yet seen to stand
+	worker      *worker
+	sentAt      Seconds
+	expected    Seconds // time to the answer, as expected when it was sent
+	runTime     Seconds // what the ledger reserves for it
+	groupNumber uint32  // the open group of the replica that it joined
+	state       attemptState
+	rejected    bool // the worker rejected it, and its queue is hidden from this dispatcher
+	hedged      bool // a hedged request was considered for it
+	loading     bool // it waits for a load
 }
 
-// requestState is what is wanted of a request; Settle emits the difference to what is out.
+// requestState is the desired state of a request; Reconcile emits the difference to the actual one.
 type requestState uint8
 
 const (
 	stateNew     requestState = iota
-	stateHeld                 // wait here
-	stateAttempt              // send to the worker in to
-	stateShed
-	stateFail
-	statePending // nothing more: an attempt is out
-	stateDone    // its final answer is given
+	stateHeld                 // to wait here
+	stateAttempt              // to be sent to the worker of the latest attempt
+	stateShed                 // to be rejected
+	stateFail                 // to be failed
+	statePending              // nothing to do: an attempt is in flight
+	stateDone                 // the final answer is given
 )
 
-// request is one in flight: its record lives in the table until its final answer is given and no attempt is
-// out.
+// request is a request in flight. Its record stays in the table until the final answer is given and no attempt is in flight.
 type request struct {
-	id          RequestID
-	model       *model
-	group       *modelGroup
-	arrivedAt   Seconds
-	notAfter    Seconds
-	workHint    Seconds
-	slo         Seconds // in which its answer earns its whole value
-	state       requestState
-	heldFor     *replica // the replica whose first answer or order it is held for
-	attempts    [maxAttempts]attempt
-	attempted   int // attempts made
-	pending     int // attempts without an outcome
-	class       int // its model group and tenant among a worker's sides
-	slot        int // own place in the table
-	live        bool
-	dirty       bool
-	streaming   bool
-	tooLate     bool // no worker would answer before its client leaves
-	barred      bool // the rules let it go to no worker that is listed now
-	probed      bool // workers were asked what they hold before it went out
-	clientRetry bool // the client asked before, so the SLO time is hardly to be kept
-	overQuota   bool // beyond its tenant's share
-}
-
-// requestTable holds the requests in flight in places that are used again.
-type requestTable struct {
-	slots []*request
-	free  []int
-	byID  map[RequestID]int
-}
-
-func (s *requestTable) acquire(id RequestID) *request {
-	if len(s.free) == 0 {
-		s.slots = append(s.slots, new(request))
-		s.free = append(s.free, len(s.slots)-1)
-	}
-	i := s.free[len(s.free)-1]
-	s.free = s.free[:len(s.free)-1]
-	*s.slots[i] = request{id: id, slot: i, live: true}
-	s.byID[id] = i
-	return s.slots[i]
-}
-
-func (s *requestTable) lookup(id RequestID) *request {
-	if i, ok := s.byID[id]; ok {
-		return s.slots[i]
-	}
-	return nil
+	id           RequestID
+	model        *model
+	group        *modelGroup
+	arrivedAt    Seconds
+	deadline     Seconds
+	workHint     Seconds
+	objective    Seconds // latency objective: an answer within it is worth the full value
+	state        requestState
+	heldFor      *replica // the replica whose first answer or load order it is held for, nil where for capacity
+	attempts     [maxAttempts]attempt
+	attempted    int // attempts made
+	inFlight     int // attempts without an outcome
+	trafficClass int // model group and tenant, an index of a worker's outlierByClass
+	slot         int // own position in the table
+	live         bool
+	changed      bool // listed in the outbox
+	streaming    bool // the answer has begun to reach the client
+	tooLate      bool // no worker would answer before the deadline
+	unplaceable  bool // the rules admit it to no worker that is listed now
+	probed       bool // workers were probed for it
+	clientRetry  bool // the client repeats it, so that the latency objective is hardly to be met
+	overQuota    bool // it exceeds its tenant's quota
 }
 
-func (s *requestTable) remove(r *request) {
-	r.live = false
-	delete(s.byID, r.id)
-	s.free = append(s.free, r.slot)
-}
-
-// tried tells whether an attempt of this request went to the worker and did not just miss there.
-func (r *request) tried(w *worker) bool {
+// tried reports whether an attempt went to the worker, apart from those that found no model there.
+func (r *request) tried(target *worker) bool {
 	for i := range r.attempts[:r.attempted] {
-		if f := &r.attempts[i]; f.worker == w && (f.state != attemptNeverRan || f.rejected) {
+		if a := &r.attempts[i]; a.worker == target && (a.state != attemptNeverRan || a.rejected) {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Dispatcher) markChanged(r *request) {
-	if !r.dirty {
-		r.dirty = true
-		d.changedRequests = append(d.changedRequests, r)
-	}
-}
-
-// settleAttempt takes an attempt out of the ledger.
-func (d *Dispatcher) settleAttempt(r *request, f *attempt, rep *replica) {
-	r.pending--
-	f.worker.pending--
-	if f.loading {
-		f.worker.pendingCold--
-	}
-	rep.pending--
-	f.worker.queued = math.Max(0, f.worker.queued-f.runTime)
-	if rep.pending == 0 && f.worker.pending == 0 {
-		f.worker.queued = 0
-	}
-	if f.groupSeq == rep.groupSeq && rep.members > 0 {
-		rep.members--
-	}
-}
-
-// unhold takes a request off the counts of those held.
-func (r *request) unhold() {
-	if r.state != stateHeld {
-		return
-	}
-	if r.heldFor != nil {
-		r.heldFor.held--
-		r.heldFor = nil
-	} else if r.model != nil {
-		r.model.heldCount--
-	}
-	r.state = statePending
-}
-
-// mayHaveRun returns the earliest attempt that may have run or is still out, nil if there is none.
+// mayHaveRun returns the earliest attempt that may have run or is still in flight, nil if there is none.
 func (r *request) mayHaveRun() *attempt {
 	for i := range r.attempts[:r.attempted] {
 		if r.attempts[i].state != attemptNeverRan {
@@ -159,36 +84,24 @@
 	return nil
 }
 
-// hold keeps a request here: for a replica's first answer or order, or (nil) for a worker to have room.
-func (d *Dispatcher) hold(r *request, rep *replica) {
-	if r.pending > 0 {
-		if r.state != stateAttempt { // a hedge wanted in the same batch still goes out
-			r.state = statePending
-		}
+// latestAttempt returns the attempt made last.
+func (r *request) latestAttempt() *attempt { return &r.attempts[r.attempted-1] }
+
+// releaseHold takes a request off the counts of those held.
+func (r *request) releaseHold() {
+	if r.state != stateHeld {
 		return
 	}
-	r.state, r.heldFor = stateHeld, rep
-	if rep != nil {
-		rep.held++
-		rep.model.markOpen(rep)
-	} else {
-		r.model.heldCount++
-	}
-}
-
-// finish notes that the final answer is given.
-func (d *Dispatcher) finish(r *request) {
-	r.unhold()
-	if r.state == stateAttempt {
-		d.unsend(r)
+	if r.heldFor != nil {
+		r.heldFor.held--
+		r.heldFor = nil
 	}
-	r.state = stateDone
-	d.markChanged(r)
+	r.state = statePending
 }
 
-// unsend takes an attempt back that this batch placed.
-func (d *Dispatcher) unsend(r *request) {
-	r.attempted--
-	f := &r.attempts[r.attempted]
-	d.settleAttempt(r, f, r.model.replica(f.worker))
+// releaseAttempt takes an attempt out of the ledgers of its worker, its replica and its request.
+func (r *request) releaseAttempt(a *attempt, target *replica) {
+	r.inFlight--
+	a.worker.ledger.release(a)
+	target.release(a)
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -121,8 +121,8 @@
 		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: []float64{-4}})
 		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: nil})
 	})
-	if w := p.d.workersByID['A']; w.reported != 0 || w.reportedAt != math.Inf(-1) {
-		t.Errorf("held %g, as of %g", w.reported, w.reportedAt)
+	if w := p.d.workers.byID['A']; w.report.inFlight != 0 || w.report.receivedAt != math.Inf(-1) {
+		t.Errorf("held %g, as of %g", w.report.inFlight, w.report.receivedAt)
 	}
 }
 
@@ -131,8 +131,8 @@
 	p := usualPlayer(t, func(s Settings) { s["tenants"] = 4000.0 })
 	p.play("workers A B")
 	p.play("take 1-5 model=1 tenant=3999")
-	if w := p.d.workersByID['A']; len(w.classes) != len(p.d.groups) || p.attempts() == 0 {
-		t.Errorf("%d records, %d attempts", len(w.classes), p.attempts())
+	if w := p.d.workers.byID['A']; len(w.outlierByClass) != len(p.d.groups) || p.attempts() == 0 {
+		t.Errorf("%d records, %d attempts", len(w.outlierByClass), p.attempts())
 	}
 }
 
--- a/control/view.go
+++ b/control/view.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// WorkerView is what a dispatcher believes of one worker, for operators.
+// WorkerView is what a dispatcher assumes of one worker, for operators.
 type WorkerView struct {
 	ID               WorkerID
-	InFlight         int     // own attempts out there
+	InFlight         int     // own attempts in flight
 	QueuedWork       Seconds // run time of those
-	PendingLoads     Seconds // load times of own cold groups there
-	FailureRate      float64 // smoothed share of attempts that failed for its own reasons
+	PendingLoads     Seconds // load times of own cold groups
+	FailureRate      float64 // smoothed share of attempts that failed for reasons of the worker
 	Ejected          bool
-	WarmModels       []ModelID // believed warm now
-	ReportedInFlight float64   // requests it reported to hold
+	WarmModels       []ModelID // assumed to be loaded now
+	ReportedInFlight float64   // requests in flight by its load reports
 }
 
 // RequestView is one request in flight and why it waits.
@@ -19,44 +19,64 @@
 	ID       RequestID
 	Model    ModelID
 	Age      Seconds
-	TimeLeft Seconds // of the client's time
-	InFlight int
+	TimeLeft Seconds // until the client's deadline
+	InFlight int     // attempts in flight
 	State    string
-	Worker   WorkerID // the worker it waits at or for, 0 for none
+	Worker   WorkerID // the worker it was sent to or is held for, 0 for none
 }
 
-// View tells what is believed and what is in flight: at most so many requests, the longest held first seen. It
-// changes nothing.
-func (d *Dispatcher) View(most int) (workers []WorkerView, hand []RequestView) {
-	for _, w := range d.workers {
-		v := WorkerView{ID: w.ID, InFlight: w.pending, QueuedWork: w.queued, PendingLoads: w.pendingLoads, FailureRate: w.failureShare, Ejected: w.ejected, ReportedInFlight: w.reported}
-		for id, m := range d.models {
-			if w.index < len(m.replicas) && m.replicas[w.index] != nil && m.replicas[w.index].warmUntil >= d.now {
-				v.WarmModels = append(v.WarmModels, id)
-			}
-		}
-		workers = append(workers, v)
+// View returns what is assumed of the workers, and the requests in flight, at most requestsMax of them. It changes nothing.
+func (d *Dispatcher) View(requestsMax int) (workers []WorkerView, requests []RequestView) {
+	for _, w := range d.workers.all {
+		workers = append(workers, d.viewWorker(w))
 	}
-	for _, r := range d.inFlight.slots {
-		if !r.live || len(hand) >= most {
-			continue
+	for _, req := range d.inFlight.slots {
+		if req.live && len(requests) < requestsMax {
+			requests = append(requests, d.viewRequest(req))
 		}
-		v := RequestView{ID: r.id, Model: r.model.id, Age: d.now - r.arrivedAt, TimeLeft: math.Max(0, r.notAfter-d.now), InFlight: r.pending}
-		switch {
-		case r.state == stateDone:
-			v.State = "answered; an attempt is still out"
-		case r.state == stateHeld && r.heldFor != nil && (r.heldFor.orderPending || r.heldFor.orderWanted):
-			v.State, v.Worker = "held for a load order", r.heldFor.worker.ID
-		case r.state == stateHeld && r.heldFor != nil:
-			v.State, v.Worker = "held for the first answer of a cold group", r.heldFor.worker.ID
-		case r.state == stateHeld:
-			v.State = "held for a worker to have room"
-		case r.attempted > 0 && r.pending > 0:
-			v.State, v.Worker = "sent to a worker", r.attempts[r.attempted-1].worker.ID
-		default:
-			v.State = "just taken"
+	}
+	return workers, requests
+}
+
+func (d *Dispatcher) viewWorker(w *worker) WorkerView {
+	view := WorkerView{
+		ID:               w.ID,
+		InFlight:         w.ledger.inFlight,
+		QueuedWork:       w.ledger.queued,
+		PendingLoads:     w.ledger.pendingLoads,
+		FailureRate:      w.outlier.failureRate,
+		Ejected:          w.outlier.ejected,
+		ReportedInFlight: w.report.inFlight,
+	}
+	for id, m := range d.models.byID {
+		if m.peek(w).isWarm(d.now) {
+			view.WarmModels = append(view.WarmModels, id)
 		}
-		hand = append(hand, v)
 	}
-	return workers, hand
+	return view
+}
+
+func (d *Dispatcher) viewRequest(req *request) RequestView {
+	view := RequestView{
+		ID:       req.id,
+		Model:    req.model.id,
+		Age:      d.now - req.arrivedAt,
+		TimeLeft: math.Max(0, req.deadline-d.now),
+		InFlight: req.inFlight,
+	}
+	switch {
+	case req.state == stateDone:
+		view.State = "answered; an attempt is still out"
+	case req.state == stateHeld && req.heldFor != nil && req.heldFor.ordering():
+		view.State, view.Worker = "held for a load order", req.heldFor.worker.ID
+	case req.state == stateHeld && req.heldFor != nil:
+		view.State, view.Worker = "held for the first answer of a cold group", req.heldFor.worker.ID
+	case req.state == stateHeld:
+		view.State = "held for a worker to have room"
+	case req.attempted > 0 && req.inFlight > 0:
+		view.State, view.Worker = "sent to a worker", req.latestAttempt().worker.ID
+	default:
+		view.State = "just taken"
+	}
+	return view
 }
