--- a/control/ledger.go
+++ b/control/ledger.go
@@ -40,11 +40,16 @@
 	l.abandonedAt = now
 }
 
-// stillAbandoned returns how many abandoned attempts the worker may still run.
+// stillAbandoned returns how many abandoned attempts the worker may still run. It is read for each worker in each
+// placement: only the part that is common is inlined.
 func (l *workLedger) stillAbandoned(now, runTime Seconds) float64 {
 	if l.abandoned == 0 {
 		return 0
 	}
+	return l.decayedAbandoned(now, runTime)
+}
+
+func (l *workLedger) decayedAbandoned(now, runTime Seconds) float64 {
 	return l.abandoned * math.Exp((l.abandonedAt-now)/math.Max(runTime, spanMin))
 }
 
