--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"bufio"
 	"fmt"
 	"math"
 	"os"
@@ -11,50 +10,61 @@
 	"testing"
 )
 
-// The notation, one step a line or several with ; between:
+// player plays scenarios: steps in a small notation, one a line or several with ; between, and # before a comment.
 //
 //	set NAME VALUE                     a setting, before the first event
-//	workers [full] A[,zone=N,cell=N,start=T,state=ready|draining|gone] ...
-//	take N model=M [group=G] [until=T] [load=S] [work=S] [lanes=N] [tenant=N]   N may be a span: 1-20
-//	end N.F RESULT [warm|began|waited|failed]      attempt F of request N ends
-//	ordered A M RESULT COPIES          a load order is answered
-//	leave N | asked-failed             the client leaves | a call to discovery failed
+//	workers [snapshot] A[,zone=N,cell=N,start=T,state=ready|draining|gone] ...   a change to the list, or all of it
+//	arrive N [model=M group=G tenant=N deadline=T work=S load-time=S concurrency=N client-retry=1]
+//	                                   request N arrives; N may be a range: 1-20
+//	finish N.A RESULT [warm|load-started|load-awaited|load-failed]   attempt A of request N ends
+//	loaded WORKER MODEL RESULT REPLICAS   a load order ends
+//	client-cancels N                   the client cancels request N
+//	discovery-failed                   a call to discovery fails
 //	wait S                             time passes, timers fire
-//	expect ACTION                      the next action; $x stands for any word, the same each time
-//	expect-none | forget               no action is open | drops the open actions
-//	count N WORD...                    so many of the open actions begin with these words
+//	expect ACTION                      the next action; $x stands for any word, the same one each time
+//	expect-none                        no action is left
+//	discard                            drops the actions that are left
+//	count N WORD...                    so many of the actions that are left begin with these words
 type player struct {
-	t     *testing.T
-	set   Settings
-	d     *Dispatcher
-	now   Seconds
-	wakes []Seconds
-	acts  []string
-	words map[string]string
+	t         *testing.T
+	set       Settings
+	d         *Dispatcher
+	now       Seconds
+	timers    []Seconds
+	actions   []string
+	variables map[string]string
 }
 
-var results = map[string]Result{"returned": Succeeded, "errored": WorkerError, "full": AtCapacity, "timed-out": TimedOut,
-	"no-connection": ConnectFailed, "reset": ConnectionReset, "cancelled": Cancelled, "missed": ModelNotLoaded}
-var founds = map[string]ModelState{"": ModelStateUnknown, "warm": ModelWarm, "began": LoadStarted, "waited": LoadAwaited, "failed": LoadFailed}
-var states = map[string]WorkerState{"": Ready, "ready": Ready, "draining": Draining, "gone": Gone}
+var resultNames = map[string]Result{"succeeded": Succeeded, "worker-error": WorkerError, "at-capacity": AtCapacity, "timed-out": TimedOut,
+	"connect-failed": ConnectFailed, "connection-reset": ConnectionReset, "cancelled": Cancelled, "not-loaded": ModelNotLoaded}
+var modelStateNames = map[string]ModelState{"": ModelStateUnknown, "warm": ModelWarm, "load-started": LoadStarted,
+	"load-awaited": LoadAwaited, "load-failed": LoadFailed}
+var workerStateNames = map[string]WorkerState{"": Ready, "ready": Ready, "draining": Draining, "gone": Gone}
 
-func (p *player) say(f string, a ...any) { p.acts = append(p.acts, fmt.Sprintf(f, a...)) }
+func (p *player) record(format string, args ...any) {
+	p.actions = append(p.actions, fmt.Sprintf(format, args...))
+}
 
-func name(w WorkerID) string { return string(rune(w)) }
+// workerName returns the letter that the notation gives a worker.
+func workerName(w WorkerID) string { return string(rune(w)) }
 
-func (p *player) SendAttempt(i RequestID, w WorkerID, _ Seconds) { p.say("attempt %d %s", i, name(w)) }
-func (p *player) Shed(i RequestID, back Seconds)                 { p.say("shed %d %.1f", i, back) }
-func (p *player) Fail(i RequestID)                               { p.say("fail %d", i) }
-func (p *player) CancelAttempt(i RequestID, f int)               { p.say("cancel %d.%d", i, f) }
-func (p *player) LoadModel(w WorkerID, m ModelID, n int)         { p.say("order %s %d %d", name(w), m, n) }
-func (p *player) UnloadModel(w WorkerID, m ModelID)              { p.say("unload %s %d", name(w), m) }
-func (p *player) ProbeWorker(w WorkerID)                         { p.say("probe %s", name(w)) }
-func (p *player) CloseIdleConnections(w WorkerID)                { p.say("close %s", name(w)) }
-func (p *player) SendPeerMessage(PeerID, []byte)                 { p.say("tell") }
-func (p *player) SubscribeWorkerList(on bool)                    { p.say("subscribe %v", on) }
-func (p *player) FetchWorkerList()                               { p.say("fetch") }
-func (p *player) SetTimer(after Seconds, _ TimerID)              { p.wakes = append(p.wakes, p.now+after) }
-func (p *player) Log(string)                                     {}
+func (p *player) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
+	p.record("attempt %d %s", id, workerName(w))
+}
+func (p *player) Shed(id RequestID, retryAfter Seconds) { p.record("shed %d %.1f", id, retryAfter) }
+func (p *player) Fail(id RequestID)                     { p.record("fail %d", id) }
+func (p *player) CancelAttempt(id RequestID, n int)     { p.record("cancel %d.%d", id, n) }
+func (p *player) LoadModel(w WorkerID, m ModelID, replicas int) {
+	p.record("load %s %d %d", workerName(w), m, replicas)
+}
+func (p *player) UnloadModel(w WorkerID, m ModelID) { p.record("unload %s %d", workerName(w), m) }
+func (p *player) ProbeWorker(w WorkerID)            { p.record("probe %s", workerName(w)) }
+func (p *player) CloseIdleConnections(w WorkerID)   { p.record("close %s", workerName(w)) }
+func (p *player) SendPeerMessage(PeerID, []byte)    { p.record("peer-message") }
+func (p *player) SubscribeWorkerList(on bool)       { p.record("subscribe %v", on) }
+func (p *player) FetchWorkerList()                  { p.record("fetch") }
+func (p *player) SetTimer(delay Seconds, _ TimerID) { p.timers = append(p.timers, p.now+delay) }
+func (p *player) Log(string)                        {}
 
 // event plays one event at the present time.
 func (p *player) event(f func()) {
@@ -66,160 +76,206 @@
 	p.d.Reconcile()
 }
 
-// options splits k=v words.
+// options splits words of the form key=value.
 func options(words []string) map[string]string {
-	o := map[string]string{}
-	for _, w := range words {
-		k, v, _ := strings.Cut(w, "=")
-		o[k] = v
+	split := map[string]string{}
+	for _, word := range words {
+		key, value, _ := strings.Cut(word, "=")
+		split[key] = value
 	}
-	return o
+	return split
 }
 
-func num(s string, fallback float64) float64 {
-	if v, err := strconv.ParseFloat(s, 64); err == nil {
+// num returns the number in a text, or the fallback where it is none.
+func num(text string, fallback float64) float64 {
+	if v, err := strconv.ParseFloat(text, 64); err == nil {
 		return v
 	}
 	return fallback
 }
 
+// worker returns the worker that a letter or a variable names.
+func (p *player) worker(name string) WorkerID {
+	if bound, ok := p.variables[name]; ok {
+		name = bound
+	}
+	return WorkerID(name[0])
+}
+
+// lookup returns the value that a word of the notation names, and fails the test for an unknown word.
+func lookup[T any](p *player, names map[string]T, word string) T {
+	value, ok := names[word]
+	if !ok {
+		p.t.Fatalf("unknown word %q", word)
+	}
+	return value
+}
+
+// play plays one step.
 func (p *player) play(line string) {
-	w := strings.Fields(line)
-	switch w[0] {
-	case "set":
-		if v, err := strconv.ParseFloat(w[2], 64); err == nil {
-			p.set[w[1]] = v
-		} else if w[2] == "true" {
-			p.set[w[1]] = true
-		} else {
-			p.set[w[1]] = w[2]
-		}
-	case "workers":
-		kind, list := ListDelta, []WorkerInfo{}
-		for _, s := range w[1:] {
-			if s == "full" {
-				kind = ListSnapshot
-				continue
-			}
-			o := options(strings.Split(s, ",")[1:])
-			if v, ok := p.words[strings.Split(s, ",")[0]]; ok {
-				s = v
-			}
-			list = append(list, WorkerInfo{ID: WorkerID(s[0]), Zone: ZoneID(num(o["zone"], 0)), State: states[o["state"]],
-				Cell: CellID(num(o["cell"], 0)), Weight: 1, StartedAt: num(o["start"], math.Inf(-1))})
-		}
-		p.event(func() { p.d.UpdateWorkers(kind, 0, list) })
-	case "take":
-		o := options(w[2:])
-		first, last, span := strings.Cut(w[1], "-")
-		if !span {
-			last = first
-		}
-		for i := num(first, 0); i <= num(last, 0); i++ {
-			q := Request{ID: RequestID(i), Model: ModelID(num(o["model"], 1)), Group: GroupID(num(o["group"], 0)),
-				Tenant: TenantID(num(o["tenant"], 0)), Concurrency: num(o["lanes"], 4), WorkHint: num(o["work"], 0),
-				LoadTimeHint: num(o["load"], 0), Deadline: num(o["until"], p.now+5), ClientRetry: o["repeat"] != ""}
-			p.event(func() { p.d.RequestArrived(q) })
-		}
-	case "end":
-		i, f, _ := strings.Cut(w[1], ".")
-		found := ""
-		if len(w) > 3 {
-			found = w[3]
-		}
-		p.event(func() {
-			p.d.AttemptFinished(AttemptResult{ID: RequestID(num(i, 0)), Attempt: int(num(f, 0)), Duration: 0.1, Result: results[w[2]],
-				ModelState: founds[found], RequestAnswered: w[2] == "returned"})
-		})
-	case "ordered":
-		at := w[1]
-		if v, ok := p.words[at]; ok {
-			at = v
-		}
-		p.event(func() {
-			p.d.LoadFinished(LoadResult{Worker: WorkerID(at[0]), Model: ModelID(num(w[2], 0)), Result: results[w[3]],
-				Duration: 1, Replicas: int(num(w[4], 0))})
-		})
-	case "leave":
-		p.event(func() { p.d.RequestCancelled(RequestID(num(w[1], 0))) })
-	case "asked-failed":
-		p.event(func() { p.d.UpdateWorkers(ListFailed, 0, nil) })
-	case "wait":
-		for end := p.now + num(w[1], 0); ; {
-			if len(p.wakes) == 0 || p.wakes[0] > end {
-				p.now = end
-				break
+	words := strings.Fields(line)
+	steps := map[string]func(args []string){
+		"set":              p.playSet,
+		"workers":          p.playWorkers,
+		"arrive":           p.playArrive,
+		"finish":           p.playFinish,
+		"loaded":           p.playLoaded,
+		"wait":             p.playWait,
+		"client-cancels":   func(args []string) { p.event(func() { p.d.RequestCancelled(RequestID(num(args[0], 0))) }) },
+		"discovery-failed": func([]string) { p.event(func() { p.d.UpdateWorkers(ListFailed, 0, nil) }) },
+		"expect":           func(args []string) { p.expect(line, args) },
+		"count":            func(args []string) { p.count(line, args) },
+		"discard":          func([]string) { p.actions = nil },
+		"expect-none": func([]string) {
+			if len(p.actions) > 0 {
+				p.t.Fatalf("%s: got %q at %.2f s", line, p.actions, p.now)
 			}
-			p.now, p.wakes = p.wakes[0], p.wakes[1:]
-			p.event(func() { p.d.TimerFired(0) })
-		}
-	case "expect":
-		if len(p.acts) == 0 {
-			p.t.Fatalf("%s: nothing came", line)
+		},
+	}
+	lookup(p, steps, words[0])(words[1:])
+}
+
+func (p *player) playSet(args []string) {
+	if v, err := strconv.ParseFloat(args[1], 64); err == nil {
+		p.set[args[0]] = v
+	} else if args[1] == "true" {
+		p.set[args[0]] = true
+	} else {
+		p.set[args[0]] = args[1]
+	}
+}
+
+func (p *player) playWorkers(args []string) {
+	kind, list := ListDelta, []WorkerInfo{}
+	for _, arg := range args {
+		if arg == "snapshot" {
+			kind = ListSnapshot
+			continue
 		}
-		got := strings.Fields(p.acts[0])
-		p.acts = p.acts[1:]
-		for i, want := range w[1:] {
-			if i < len(got) && strings.HasPrefix(want, "$") {
-				if _, ok := p.words[want]; !ok {
-					p.words[want] = got[i]
-				}
-				want = p.words[want]
-			}
-			if i >= len(got) || want != got[i] {
-				p.t.Fatalf("%s: got %q", line, strings.Join(got, " "))
+		parts := strings.Split(arg, ",")
+		o := options(parts[1:])
+		list = append(list, WorkerInfo{ID: p.worker(parts[0]), Zone: ZoneID(num(o["zone"], 0)), State: lookup(p, workerStateNames, o["state"]),
+			Cell: CellID(num(o["cell"], 0)), Weight: 1, StartedAt: num(o["start"], math.Inf(-1))})
+	}
+	p.event(func() { p.d.UpdateWorkers(kind, 0, list) })
+}
+
+func (p *player) playArrive(args []string) {
+	o := options(args[1:])
+	first, last, isRange := strings.Cut(args[0], "-")
+	if !isRange {
+		last = first
+	}
+	for i := num(first, 0); i <= num(last, 0); i++ {
+		arrival := Request{ID: RequestID(i), Model: ModelID(num(o["model"], 1)), Group: GroupID(num(o["group"], 0)),
+			Tenant: TenantID(num(o["tenant"], 0)), Concurrency: num(o["concurrency"], 4), WorkHint: num(o["work"], 0),
+			LoadTimeHint: num(o["load-time"], 0), Deadline: num(o["deadline"], p.now+5), ClientRetry: o["client-retry"] != ""}
+		p.event(func() { p.d.RequestArrived(arrival) })
+	}
+}
+
+func (p *player) playFinish(args []string) {
+	id, number, _ := strings.Cut(args[0], ".")
+	state := ""
+	if len(args) > 2 {
+		state = args[2]
+	}
+	p.event(func() {
+		p.d.AttemptFinished(AttemptResult{ID: RequestID(num(id, 0)), Attempt: int(num(number, 0)), Duration: 0.1,
+			Result: lookup(p, resultNames, args[1]), ModelState: lookup(p, modelStateNames, state), RequestAnswered: args[1] == "succeeded"})
+	})
+}
+
+func (p *player) playLoaded(args []string) {
+	p.event(func() {
+		p.d.LoadFinished(LoadResult{Worker: p.worker(args[0]), Model: ModelID(num(args[1], 0)), Result: lookup(p, resultNames, args[2]),
+			Duration: 1, Replicas: int(num(args[3], 0))})
+	})
+}
+
+func (p *player) playWait(args []string) {
+	end := p.now + num(args[0], 0)
+	for len(p.timers) > 0 && p.timers[0] <= end {
+		p.now, p.timers = p.timers[0], p.timers[1:]
+		p.event(func() { p.d.TimerFired(0) })
+	}
+	p.now = end
+}
+
+// expect compares the next action with words; a variable that is not bound yet matches any word.
+func (p *player) expect(line string, words []string) {
+	if len(p.actions) == 0 {
+		p.t.Fatalf("%s: nothing came", line)
+	}
+	got := strings.Fields(p.actions[0])
+	p.actions = p.actions[1:]
+	for i, want := range words {
+		if i < len(got) && strings.HasPrefix(want, "$") {
+			if _, ok := p.variables[want]; !ok {
+				p.variables[want] = got[i]
 			}
+			want = p.variables[want]
 		}
-	case "expect-none":
-		if len(p.acts) > 0 {
-			p.t.Fatalf("%s: got %q at %.2f s", line, p.acts, p.now)
+		if i >= len(got) || want != got[i] {
+			p.t.Fatalf("%s: got %q", line, strings.Join(got, " "))
 		}
-	case "forget":
-		p.acts = nil
-	case "count":
-		n, prefix := 0, strings.Join(w[2:], " ")
-		if v, ok := p.words[w[len(w)-1]]; ok {
-			prefix = strings.Join(append(w[2:len(w)-1:len(w)-1], v), " ")
-		}
-		for _, a := range p.acts {
-			if strings.HasPrefix(a+" ", prefix+" ") {
-				n++
-			}
+	}
+}
+
+// count compares the number of actions left that begin with words; the last word may be a variable.
+func (p *player) count(line string, args []string) {
+	prefix := strings.Join(args[1:], " ")
+	last := len(args) - 1
+	if bound, ok := p.variables[args[last]]; ok {
+		prefix = strings.Join(append(args[1:last:last], bound), " ")
+	}
+	n := 0
+	for _, action := range p.actions {
+		if strings.HasPrefix(action+" ", prefix+" ") {
+			n++
 		}
-		if n != int(num(w[1], -1)) {
-			p.t.Fatalf("%s: %d of %q", line, n, p.acts)
+	}
+	if n != int(num(args[0], -1)) {
+		p.t.Fatalf("%s: %d of %q", line, n, p.actions)
+	}
+}
+
+// scenario is a named list of steps.
+type scenario struct {
+	name  string
+	steps []string
+}
+
+// readScenarios reads a file of scenarios, each headed by "== name".
+func readScenarios(t *testing.T, file string) []*scenario {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var scenarios []*scenario
+	for line := range strings.Lines(string(text)) {
+		line, _, _ = strings.Cut(strings.TrimSuffix(line, "\n"), "#")
+		if name, ok := strings.CutPrefix(line, "== "); ok {
+			scenarios = append(scenarios, &scenario{name: name})
+		} else if line = strings.TrimSpace(line); line != "" && len(scenarios) > 0 {
+			current := scenarios[len(scenarios)-1]
+			current.steps = append(current.steps, strings.Split(line, ";")...)
 		}
-	default:
-		p.t.Fatalf("unknown step %q", line)
 	}
+	return scenarios
 }
 
-// TestScenarios plays every file of testdata; a file holds scenarios, each headed by "== name".
+// TestScenarios plays the scenarios of all files in testdata, under the usual settings.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) == 0 {
 		t.Fatal("no scenarios")
 	}
 	for _, file := range files {
-		text, err := os.Open(file)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var names []string
-		steps := map[string][]string{}
-		for s := bufio.NewScanner(text); s.Scan(); {
-			line, _, _ := strings.Cut(s.Text(), "#")
-			if n, ok := strings.CutPrefix(line, "== "); ok {
-				names = append(names, n)
-			} else if line = strings.TrimSpace(line); line != "" && len(names) > 0 {
-				steps[names[len(names)-1]] = append(steps[names[len(names)-1]], strings.Split(line, ";")...)
-			}
-		}
-		text.Close()
-		for _, n := range names {
-			t.Run(strings.ReplaceAll(n, " ", "-"), func(t *testing.T) {
-				p := &player{t: t, set: Settings{}, words: map[string]string{}}
-				for _, line := range append(strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }), steps[n]...) {
+		for _, played := range readScenarios(t, file) {
+			t.Run(strings.ReplaceAll(played.name, " ", "-"), func(t *testing.T) {
+				p := newPlayer(t)
+				for _, line := range played.steps {
 					p.play(line)
 				}
 			})
@@ -227,8 +283,16 @@
 	}
 }
 
-// usual is what the settings are where a scenario does not say otherwise: one retriable, one deduped and one
-// non-retriable model group.
+// newPlayer returns a player under the usual settings.
+func newPlayer(t *testing.T) *player {
+	p := &player{t: t, set: Settings{}, variables: map[string]string{}}
+	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
+		p.play(line)
+	}
+	return p
+}
+
+// usual is the settings of a scenario before its own: one retriable, one deduplicated and one non-retriable model group.
 const usual = `set groups 3; set groups.0.effect retriable; set groups.0.slo 1; set groups.1.effect deduped
 set groups.1.scope cell; set groups.1.window 2; set groups.1.slo 1; set groups.2.effect non-retriable
 set groups.2.slo 1; set limits.max_attempts 6; set limits.hedging true; set limits.cancel true
@@ -236,13 +300,9 @@
 set models.on_miss load; set models.keep 8; set rules.warm_after 10; set rules.cold_share 0.2
 set rules.overload_factor 2; set rules.fall 1; set tick 0.002`
 
-// TestOrdinaryPathAllocatesNothing takes and answers requests on a warm worker.
+// TestOrdinaryPathAllocatesNothing sends requests to a warm worker and answers them.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	p := &player{t: t, set: Settings{}}
-	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
-		p.play(line)
-	}
-	d := New(7, p.set, quiet{})
+	d := New(7, newPlayer(t).set, quiet{})
 	list := []WorkerInfo{{ID: 1, State: Ready, StartedAt: math.Inf(-1)}, {ID: 2, State: Ready, StartedAt: math.Inf(-1)}}
 	d.UpdateWorkers(ListSnapshot, 0, list)
 	id, now := RequestID(0), 0.0
@@ -260,11 +320,11 @@
 		round()
 	}
 	if n := testing.AllocsPerRun(1000, round); n > 0 {
-		t.Errorf("%v allocations an inference", n)
+		t.Errorf("%v allocations per request", n)
 	}
 }
 
-// quiet takes the actions of the ordinary path and does nothing.
+// quiet ignores the actions of the ordinary path.
 type quiet struct{ Actions }
 
 func (quiet) SendAttempt(RequestID, WorkerID, Seconds) {}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -9,7 +9,7 @@
 
 // usualPlayer is a player under the usual settings, changed by change.
 func usualPlayer(t *testing.T, change func(Settings)) *player {
-	p := &player{t: t, set: Settings{}, words: map[string]string{}}
+	p := &player{t: t, set: Settings{}, variables: map[string]string{}}
 	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
 		p.play(line)
 	}
@@ -18,7 +18,7 @@
 }
 
 func (p *player) attempts() (n int) {
-	for _, a := range p.acts {
+	for _, a := range p.actions {
 		if strings.HasPrefix(a, "attempt ") {
 			n++
 		}
@@ -89,7 +89,7 @@
 		p := usualPlayer(t, change)
 		p.play("wait 5")
 		p.play("workers A,start=4.5")
-		p.play("take 1-40 model=1 until=50")
+		p.play("arrive 1-40 model=1 deadline=50")
 		p.play("wait 0.05")
 		if n := p.attempts(); n > 2 {
 			t.Errorf("%s: %d attempts at a cold worker at once", name, n)
@@ -107,8 +107,8 @@
 		q.ID = 1
 		p.event(func() { p.d.RequestArrived(q) })
 		p.play("wait 2.1")
-		if n := p.attempts(); n > 1 || len(p.acts) < 1 || !strings.HasPrefix(p.acts[n], "shed 1") {
-			t.Errorf("%+v: %q", q, p.acts)
+		if n := p.attempts(); n > 1 || len(p.actions) < 1 || !strings.HasPrefix(p.actions[n], "shed 1") {
+			t.Errorf("%+v: %q", q, p.actions)
 		}
 	}
 	p := usualPlayer(t, func(s Settings) {
@@ -130,7 +130,7 @@
 func TestManyTenants(t *testing.T) {
 	p := usualPlayer(t, func(s Settings) { s["tenants"] = 4000.0 })
 	p.play("workers A B")
-	p.play("take 1-5 model=1 tenant=3999")
+	p.play("arrive 1-5 model=1 tenant=3999")
 	if w := p.d.workers.byID['A']; len(w.outlierByClass) != len(p.d.groups) || p.attempts() == 0 {
 		t.Errorf("%d records, %d attempts", len(w.outlierByClass), p.attempts())
 	}
