--- /dev/null
+++ b/control/bench_test.go
@@ -0,0 +1,102 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+)
+
+// answeringHost keeps the attempts to be answered, counts the requests that are shed or failed, and ignores other actions.
+type answeringHost struct {
+	now     Seconds
+	sent    []AttemptResult
+	dueAt   []Seconds // when each of them is to be answered
+	refused int
+}
+
+func (h *answeringHost) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
+	h.dueAt = append(h.dueAt, h.now+0.05)
+	h.sent = append(h.sent, AttemptResult{ID: id, Worker: w, Duration: 0.05, ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true})
+}
+func (h *answeringHost) Shed(RequestID, Seconds)          { h.refused++ }
+func (h *answeringHost) Fail(RequestID)                   { h.refused++ }
+func (h *answeringHost) CancelAttempt(RequestID, int)     {}
+func (h *answeringHost) LoadModel(WorkerID, ModelID, int) {}
+func (h *answeringHost) UnloadModel(WorkerID, ModelID)    {}
+func (h *answeringHost) ProbeWorker(WorkerID)             {}
+func (h *answeringHost) CloseIdleConnections(WorkerID)    {}
+func (h *answeringHost) SendPeerMessage(PeerID, []byte)   {}
+func (h *answeringHost) SubscribeWorkerList(bool)         {}
+func (h *answeringHost) FetchWorkerList()                 {}
+func (h *answeringHost) SetTimer(Seconds, TimerID)        {}
+func (h *answeringHost) Log(string)                       {}
+
+// benchmarkLoad is one dispatcher's part of a steady load of two requests in flight at each worker.
+type benchmarkLoad struct {
+	host     *answeringHost
+	d        *Dispatcher
+	workers  int
+	share    float64 // of the load, that this dispatcher receives
+	now      Seconds
+	id       RequestID
+	answered int // of host.sent
+}
+
+func newBenchmarkLoad(workers, dispatchers int) *benchmarkLoad {
+	l := &benchmarkLoad{host: &answeringHost{}, workers: workers, share: 1}
+	if dispatchers > 2 {
+		l.share = 0.01
+	}
+	l.d = New(1, Settings{"limits.max_attempts": 3.0, "limits.hedging": true, "models.keep": 8.0, "groups": 1.0, "dispatchers": float64(dispatchers), "groups.0.effect": "retriable",
+		"groups.0.slo": 1.0, "groups.0.timeout": 5.0, "rules.warm_after": 10.0, "rules.cold_share": 0.2, "tick": 0.001,
+		"load_report.fields": 1.0, "load_report.fields.0": "inflight"}, l.host)
+	var list []WorkerInfo
+	for i := range workers {
+		list = append(list, WorkerInfo{ID: WorkerID(i + 1), State: Ready, Weight: 1, StartedAt: -1e6})
+	}
+	l.d.SetNow(0)
+	l.d.UpdateWorkers(ListSnapshot, 1, list)
+	l.d.Reconcile()
+	return l
+}
+
+// step plays one request and the answers that are due by then, and a sweep every 64 requests.
+func (l *benchmarkLoad) step() {
+	l.id++
+	l.now += 0.05 / (2 * float64(l.workers)) / l.share
+	l.host.now = l.now
+	l.d.SetNow(l.now)
+	l.d.RequestArrived(Request{ID: l.id, Model: ModelID(l.id % RequestID(2*l.workers)), Deadline: l.now + 5})
+	l.d.Reconcile()
+	for l.answered < len(l.host.dueAt) && l.host.dueAt[l.answered] <= l.now {
+		l.d.AttemptFinished(l.host.sent[l.answered])
+		l.d.Reconcile()
+		l.answered++
+	}
+	if l.answered > 4*l.workers { // drop the answered ones, keeping the memory
+		l.host.sent = l.host.sent[:copy(l.host.sent, l.host.sent[l.answered:])]
+		l.host.dueAt = l.host.dueAt[:copy(l.host.dueAt, l.host.dueAt[l.answered:])]
+		l.answered = 0
+	}
+	if l.id%64 == 0 {
+		l.d.TimerFired(0)
+		l.d.Reconcile()
+	}
+}
+
+// BenchmarkRequest measures one request from arrival to its answer, without faults, by number of workers and dispatchers.
+func BenchmarkRequest(b *testing.B) {
+	for _, c := range []struct{ workers, dispatchers int }{{16, 1}, {90, 1}, {1000, 1}, {16, 2}, {90, 2}, {1000, 2}, {90, 300}, {1000, 300}} {
+		b.Run(fmt.Sprintf("%d workers, %d dispatchers", c.workers, c.dispatchers), func(b *testing.B) {
+			l := newBenchmarkLoad(c.workers, c.dispatchers)
+			for range 20 * c.workers {
+				l.step()
+			}
+			b.ReportAllocs()
+			b.ResetTimer()
+			for b.Loop() {
+				l.step()
+			}
+			b.ReportMetric(float64(l.host.refused)/float64(b.N), "shed/op")
+		})
+	}
+}
--- /dev/null
+++ b/control/quota_test.go
@@ -0,0 +1,28 @@
+package control
+
+import "testing"
+
+// TestSmallTenantQuota checks that a tenant whose quota is below one request a second at a dispatcher does not exceed it
+// all the time.
+func TestSmallTenantQuota(t *testing.T) {
+	for _, quota := range []float64{0.2, 1, 5} {
+		d := New(1, Settings{"dispatchers": 10.0, "tenants": 1.0, "tenants.0.quota": 10 * quota}, &fleetNode{})
+		over := 0
+		for i := range 100 { // at nine tenths of the quota
+			if d.tenants[0].overQuota(float64(i) / (0.9 * quota)) {
+				over++
+			}
+		}
+		if over > 0 {
+			t.Errorf("quota %g: %d of 100 over the quota", quota, over)
+		}
+		for i := range 100 { // at twice the quota
+			if d.tenants[0].overQuota(200/quota + float64(i)/(2*quota)) {
+				over++
+			}
+		}
+		if over < 40 {
+			t.Errorf("quota %g: %d of 100 over the quota at twice its rate", quota, over)
+		}
+	}
+}
--- /dev/null
+++ b/control/slowstart_test.go
@@ -0,0 +1,262 @@
+package control
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+// The rule of slow start in these runs, and their timing in seconds.
+const (
+	coldOverloadWindow = 1.0
+	coldRamp           = 8.0
+	coldCapacity       = 0.25
+	coldOverloadFactor = 2.0
+
+	coldStartAt = 6.0 // when the cold workers start and are listed
+	coldRunEnd  = 12.0
+	coldStep    = 0.01
+	coldRunTime = 0.2 // of one request
+	coldProbe   = 0.002
+)
+
+// coldRun is a fleet of dispatchers in simulated time, with workers of which some start at once.
+type coldRun struct {
+	dispatchers, workers, cold int
+	rate                       float64 // requests/s for each worker, from all dispatchers
+	uneven                     bool    // some dispatchers receive several times the mean, most receive less
+	restart                    float64 // share of the dispatchers that start anew as the workers do
+	models                     int
+	price                      float64 // of a probe; at 0.08 none is sent
+}
+
+func (c coldRun) settings() Settings {
+	return Settings{"dispatchers": float64(c.dispatchers), "rules.fall": coldOverloadWindow, "rules.warm_after": coldRamp,
+		"rules.cold_share": coldCapacity, "rules.overload_factor": coldOverloadFactor, "limits.max_attempts": 3.0, "limits.hedging": true,
+		"limits.cancel": true, "limits.probes": true, "limits.retry_after": true, "limits.max_retry_after": 0.5, "models.keep": 8.0, "models.on_miss": "load",
+		"load_report.fields": 2.0, "load_report.fields.0": "inflight", "load_report.fields.1": "queue", "groups": 1.0,
+		"groups.0.effect": "retriable", "groups.0.slo": 1.0, "groups.0.timeout": 5.0, "prices.probe": c.price}
+}
+
+// coldFleet is a run under way.
+type coldFleet struct {
+	coldRun
+	seed        uint64
+	rnd         *rand.Rand
+	now         Seconds
+	nodes       []*fleetNode
+	totalWeight float64
+	index       map[WorkerID]int
+	sentAt      [][]Seconds // when each worker was sent attempts
+	inFlight    []float64   // at each worker
+}
+
+// fleetNode is one dispatcher of the fleet; what it sends is kept until the worker's answer is due.
+type fleetNode struct {
+	Actions
+	fleet     *coldFleet
+	d         *Dispatcher
+	startedAt Seconds
+	weight    float64 // of its traffic
+	now       Seconds // since startedAt
+	due       []dueAnswer
+	timerSet  bool
+	lastID    RequestID
+	attempts  map[RequestID]int
+}
+
+// dueAnswer is an attempt or a probe that a worker will answer.
+type dueAnswer struct {
+	at      Seconds
+	id      RequestID
+	attempt int
+	worker  WorkerID
+	isProbe bool
+}
+
+func (n *fleetNode) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
+	i := n.fleet.index[w]
+	n.fleet.sentAt[i] = append(n.fleet.sentAt[i], n.fleet.now)
+	n.fleet.inFlight[i]++
+	n.due = append(n.due, dueAnswer{at: n.now + coldRunTime, id: id, attempt: n.attempts[id], worker: w})
+	n.attempts[id]++
+}
+func (n *fleetNode) ProbeWorker(w WorkerID) {
+	n.due = append(n.due, dueAnswer{at: n.now + coldProbe, worker: w, isProbe: true})
+}
+func (n *fleetNode) Shed(RequestID, Seconds)          {}
+func (n *fleetNode) Fail(RequestID)                   {}
+func (n *fleetNode) CancelAttempt(RequestID, int)     {}
+func (n *fleetNode) LoadModel(WorkerID, ModelID, int) {}
+func (n *fleetNode) SubscribeWorkerList(bool)         {}
+func (n *fleetNode) SetTimer(Seconds, TimerID)        { n.timerSet = true }
+
+func newColdFleet(c coldRun, seed uint64) *coldFleet {
+	f := &coldFleet{coldRun: c, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), index: map[WorkerID]int{},
+		sentAt: make([][]Seconds, c.workers), inFlight: make([]float64, c.workers)}
+	for i := range c.workers {
+		f.index[f.workerID(i)] = i
+	}
+	for range c.dispatchers {
+		n := &fleetNode{fleet: f, weight: 1}
+		if c.uneven {
+			n.weight = math.Exp(f.rnd.NormFloat64())
+		}
+		f.totalWeight += n.weight
+		f.start(n)
+		f.nodes = append(f.nodes, n)
+	}
+	return f
+}
+
+func (f *coldFleet) workerID(i int) WorkerID { return WorkerID(hash(uint64(i) + f.seed<<20)) }
+
+// list returns the list of workers now, in the time of a dispatcher. The first ones are the cold ones.
+func (f *coldFleet) list(dispatcherStartedAt Seconds) []WorkerInfo {
+	var list []WorkerInfo
+	for i := range f.workers {
+		entry := WorkerInfo{ID: f.workerID(i), State: Ready, StartedAt: math.Inf(-1), Weight: 1}
+		if i < f.cold {
+			if f.now < coldStartAt {
+				continue
+			}
+			entry.StartedAt = coldStartAt - dispatcherStartedAt
+		}
+		list = append(list, entry)
+	}
+	return list
+}
+
+// start starts a dispatcher, anew or for the first time.
+func (f *coldFleet) start(n *fleetNode) {
+	n.startedAt, n.now, n.due, n.timerSet, n.attempts = f.now, 0, nil, false, map[RequestID]int{}
+	n.d = New(f.rnd.Uint64(), f.settings(), n)
+	n.d.SetNow(0)
+	n.d.UpdateWorkers(ListSnapshot, 1, f.list(f.now))
+	n.d.Reconcile()
+}
+
+// addColdWorkers lists the cold workers, and restarts some dispatchers.
+func (f *coldFleet) addColdWorkers() {
+	for i, n := range f.nodes {
+		if float64(i) < f.restart*float64(len(f.nodes)) {
+			f.start(n)
+		} else {
+			n.d.SetNow(f.now - n.startedAt)
+			n.d.UpdateWorkers(ListDelta, 2, f.list(n.startedAt))
+			n.d.Reconcile()
+		}
+	}
+}
+
+// step plays one step of a dispatcher: the answers that are due, its timer, and arrivals.
+func (f *coldFleet) step(n *fleetNode) {
+	n.now = f.now - n.startedAt
+	busy := false
+	begin := func() {
+		if !busy {
+			busy = true
+			n.d.SetNow(n.now)
+		}
+	}
+	due := n.due
+	n.due = nil
+	for _, answer := range due {
+		if answer.at > n.now {
+			n.due = append(n.due, answer)
+			continue
+		}
+		begin()
+		f.answer(n, answer)
+	}
+	if n.timerSet {
+		begin()
+		n.timerSet = false
+		n.d.TimerFired(0)
+	}
+	mean := f.rate * float64(f.workers) * n.weight / f.totalWeight * coldStep
+	for p := f.rnd.ExpFloat64(); p < mean; p += f.rnd.ExpFloat64() {
+		begin()
+		n.lastID++
+		requested := ModelID(1 + int(float64(f.models)*math.Pow(f.rnd.Float64(), 2)))
+		n.d.RequestArrived(Request{ID: n.lastID, Model: requested, WorkHint: coldRunTime, LoadTimeHint: 1, Deadline: n.now + 5, Tenant: math.MaxUint16})
+	}
+	if busy {
+		n.d.Reconcile()
+	}
+}
+
+func (f *coldFleet) answer(n *fleetNode, answer dueAnswer) {
+	i := f.index[answer.worker]
+	report := []float64{f.inFlight[i], 0}
+	if answer.isProbe {
+		n.d.ProbeFinished(ProbeResult{Worker: answer.worker, Result: Succeeded, Duration: coldProbe, LoadReport: report})
+		return
+	}
+	f.inFlight[i]--
+	n.d.AttemptFinished(AttemptResult{ID: answer.id, Attempt: answer.attempt, Worker: answer.worker, Duration: coldRunTime, Result: Succeeded,
+		ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true, LoadReport: report})
+}
+
+// worstShare returns the largest share of its limit that a cold worker was sent within any overload window.
+func (f *coldFleet) worstShare() float64 {
+	worst := 0.0
+	for _, sentAt := range f.sentAt[:f.cold] {
+		for last, at := range sentAt {
+			before := last
+			for before >= 0 && sentAt[before] > at-coldOverloadWindow {
+				before--
+			}
+			capacity := coldCapacity + (1-coldCapacity)*math.Min(1, (at-coldStartAt)/coldRamp)
+			limit := coldOverloadFactor * capacity * f.rate * coldOverloadWindow
+			worst = math.Max(worst, float64(last-before)/(limit+2*math.Sqrt(limit)+2))
+		}
+	}
+	return worst
+}
+
+// play plays a run and returns its worst share.
+func (c coldRun) play(seed uint64) float64 {
+	f := newColdFleet(c, seed)
+	added := false
+	for ; f.now < coldRunEnd; f.now += coldStep {
+		if !added && f.now >= coldStartAt {
+			added = true
+			f.addColdWorkers()
+		}
+		for _, n := range f.nodes {
+			f.step(n)
+		}
+	}
+	return f.worstShare()
+}
+
+// TestColdWorkersOverManyDraws checks rule 4 over many draws: the most that a cold worker is sent by all dispatchers
+// together, against what the settings allow it. Its capacity is taken to be the mean traffic, the least that a fleet in
+// order has. The tail of the shares of the limit counts.
+func TestColdWorkersOverManyDraws(t *testing.T) {
+	draws := uint64(6)
+	for _, n := range []int{1, 2, 20, 30, 300} {
+		for _, c := range []coldRun{
+			{dispatchers: n, workers: 24, cold: 1, rate: 5, models: 30},
+			{dispatchers: n, workers: 24, cold: 12, rate: 5, models: 30, uneven: true},
+			{dispatchers: n, workers: 24, cold: 6, rate: 5, models: 30, uneven: true, restart: 0.7},
+			{dispatchers: n, workers: 60, cold: 20, rate: 2, models: 200, uneven: true, restart: 1},
+			{dispatchers: n, workers: 24, cold: 6, rate: 5, models: 30, uneven: true, restart: 0.7, price: 0.08},
+		} {
+			t.Run(fmt.Sprintf("%d,%d of %d,restart %g,price %g", n, c.cold, c.workers, c.restart, c.price), func(t *testing.T) {
+				t.Parallel()
+				worst, mean := 0.0, 0.0
+				for seed := range draws {
+					share := c.play(seed)
+					worst, mean = math.Max(worst, share), mean+share/float64(draws)
+				}
+				t.Logf("share of the limit: worst of %d draws %.2f, mean %.2f", draws, worst, mean)
+				if worst > 1 {
+					t.Errorf("a cold worker received %.2f of its limit", worst)
+				}
+			})
+		}
+	}
+}
