--- a/control/ledger.go
+++ b/control/ledger.go
@@ -20,6 +20,9 @@
 func (l *workLedger) reserve(a *attempt) {
 	l.queued += a.runTime
 	l.inFlight++
+	if a.loading {
+		l.loading++
+	}
 }
 
 // release takes out an attempt. An idle worker has no work queued, whatever rounding left.
--- /dev/null
+++ b/control/outlier_test.go
@@ -0,0 +1,76 @@
+package control
+
+import "testing"
+
+func TestOutlierEjectionAndRecovery(t *testing.T) {
+	var o outlierDetector
+	o.recordFailure(1)
+	if o.ejected {
+		t.Fatal("ejected after one failure")
+	}
+	o.recordFailure(1)
+	if !o.ejected || o.admits(1, Retriable, false) {
+		t.Fatal("not ejected after two failures close together")
+	}
+	if !o.admits(1, Retriable, true) {
+		t.Error("an ejection that is to be ignored was not")
+	}
+	if !o.admits(1+1/recoveryRampStart, Retriable, false) {
+		t.Error("no attempt when the recovery ramp starts")
+	}
+	if o.admits(1+1/recoveryRampStart, NonRetriable, false) {
+		t.Error("a request that must not run twice is used to test a recovery")
+	}
+	successes := 0
+	for ; o.ejected && successes < 100; successes++ {
+		o.recordSuccess()
+	}
+	if successes != 4 {
+		t.Errorf("readmitted after %d successes, want 4: the ramp doubles from 1 to 16 attempts/s", successes)
+	}
+	o.recordFailure(9)
+	if !o.ejected {
+		t.Error("one failure after the readmission does not eject again")
+	}
+}
+
+func TestOutlierRejectionBackoff(t *testing.T) {
+	var o outlierDetector
+	for _, backoff := range []Seconds{0.05, 0.1, 0.2, 0.4, 0.5, 0.5} {
+		if until := o.recordRejection(0); until != backoff {
+			t.Errorf("backoff %g s, want %g", until, backoff)
+		}
+	}
+	o.recordSuccess()
+	if until := o.recordRejection(0); until != rejectBackoffMin {
+		t.Errorf("backoff %g s after a success, want %g", until, rejectBackoffMin)
+	}
+	o.rejectedUntil = 5
+	if o.admits(4.9, Retriable, true) || !o.admits(5, Retriable, false) {
+		t.Error("the backoff does not end when it should")
+	}
+}
+
+// TestFailureScope checks that a failure implicates one traffic class where the others were answered well lately, and the
+// whole worker otherwise.
+func TestFailureScope(t *testing.T) {
+	w := &worker{outlierByClass: make([]outlierDetector, 3)}
+	if w.failureScope(1, 0) != &w.outlier {
+		t.Error("no answer at all: want the whole worker")
+	}
+	w.outlierByClass[1].recordAnswer(5, true)
+	if w.failureScope(1, 0) != &w.outlier {
+		t.Error("an answer of the class itself only: want the whole worker")
+	}
+	w.outlierByClass[0].recordAnswer(6, true)
+	if w.failureScope(1, 0) != &w.outlierByClass[1] {
+		t.Error("another class was answered well: want the class")
+	}
+	if w.failureScope(1, 6) != &w.outlier {
+		t.Error("the answer of the other class is too old: want the whole worker")
+	}
+	w.outlierByClass[2].recordAnswer(7, false)
+	if w.failureScope(1, 0) != &w.outlier {
+		t.Error("the latest answer of another class was an error: want the whole worker")
+	}
+}
--- a/control/placement.go
+++ b/control/placement.go
@@ -48,7 +48,7 @@
 	case target == nil || d.probeCandidates(req):
 		d.hold(req, nil)
 	default:
-		target.openGroup(d.now)
+		target.startGroup(d.now)
 		d.dispatch(req, target)
 	}
 }
@@ -256,7 +256,6 @@
 	if !target.isWarm(d.now) {
 		a.loading = true
 		a.expected = a.expected + requested.loadTime + on.ledger.pendingLoads
-		on.ledger.loading++
 	}
 	req.attempted++
 	req.inFlight++
--- a/control/replica.go
+++ b/control/replica.go
@@ -47,8 +47,8 @@
 // markCold records that the model is not loaded.
 func (r *replica) markCold() { r.warmUntil = math.Inf(-1) }
 
-// openGroup starts a new group with one member, and a load where the replica is cold.
-func (r *replica) openGroup(now Seconds) {
+// startGroup starts a new group with one member, and a load where the replica is cold.
+func (r *replica) startGroup(now Seconds) {
 	r.group = openGroup{number: r.group.number + 1, joined: 1}
 	if !r.isWarm(now) && !r.loading {
 		r.loading = true
