--- a/control/admission.go
+++ b/control/admission.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const answerMarginMin = 0.02 // s kept of the client's time, on top of two ticks: two sweeps
+const answerMarginMin = 0.02 // s reserved of the client's time, on top of two ticks: two sweeps
 
 // RequestArrived admits a request: it is placed, held or answered at once.
 func (d *Dispatcher) RequestArrived(arrival Request) {
--- a/control/control.go
+++ b/control/control.go
@@ -16,7 +16,7 @@
 	listMax          = 4096    // entries of a list of the settings: more is a mistake
 )
 
-// classesMax bounds the traffic classes told apart at each worker, tenants times model groups: more would fill the memory.
+// classesMax bounds the traffic classes counted at each worker, tenants times model groups: more would fill the memory.
 const classesMax = 512
 
 var never = math.Inf(1) // a time that does not come, and a duration without end
@@ -46,15 +46,15 @@
 	loadBudget  loadBudget
 	slowStart   slowStart
 
-	// Measurements that placement goes by.
+	// Measurements that placement uses.
 	arrivals      arrivalRate
 	sparseTraffic bool            // own traffic is too sparse for own ledgers to show the workers' load
 	runTime       Seconds         // smoothed answer time of warm replicas, over all models
-	peerWeight    smoothingWeight // of the own work that stands for peers'
+	peerWeight    smoothingWeight // of the latest own work, in the mean that is assumed of a peer
 	placement     placement
 
 	// Derived from the settings.
-	tenantClasses  int   // tenants told apart at a worker, within each model group
+	tenantClasses  int   // tenants with a traffic class of their own, within each model group
 	ordersLoads    bool  // a miss is answered by a load order
 	probesMax      int   // preferred workers probed for one request
 	inFlightFields []int // indexes of the load report's values that count requests
--- a/control/eviction_test.go
+++ b/control/eviction_test.go
@@ -24,7 +24,7 @@
 	l.after(1e-4, func() { l.d.RequestArrived(Request{ID: l.id, Model: m, Deadline: l.now + 60}) })
 }
 
-// answerAll answers the attempts in flight. Those that are sent on these answers are answered the next time.
+// answerAll answers the attempts in flight. Attempts that these answers cause are answered the next time.
 func (l *longRun) answerAll() {
 	sent := l.host.sent
 	l.host.sent, l.host.dueAt = nil, nil
@@ -43,7 +43,7 @@
 	l.replaceWorkersDaily(t)
 	l.requestManyModels(t)
 	l.burst(t)
-	l.arrive(5) // and it goes on
+	l.arrive(5) // the dispatcher still works
 	if len(host.sent) != 1 {
 		t.Error("no attempt after all that")
 	}
--- a/control/ids.go
+++ b/control/ids.go
@@ -14,7 +14,7 @@
 // GroupID identifies a model group: the index of its settings.
 type GroupID uint16
 
-// TenantID identifies a tenant: the index of its settings. An index without settings stands for no tenant.
+// TenantID identifies a tenant: the index of its settings. An index without settings means no tenant.
 type TenantID uint16
 
 // ZoneID identifies a zone.
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// recordAbandoned counts an attempt that was cancelled or timed out: the worker may go on running it for about one runTime.
+// recordAbandoned counts an attempt that was cancelled or timed out: the worker may still run it, for about one runTime.
 func (l *workLedger) recordAbandoned(now, runTime Seconds) {
 	l.abandoned = l.stillAbandoned(now, runTime) + 1
 	l.abandonedAt = now
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestWorkerChangeInTheSameBatchMovesTheAttempt has a request arrive in one batch with the event that its worker is
-// draining, gone or has started anew: the attempt goes to the other worker.
+// draining, gone or has started anew: the attempt is sent to the other worker.
 func TestWorkerChangeInTheSameBatchMovesTheAttempt(t *testing.T) {
 	entry := func(w rune, state WorkerState, startedAt Seconds) WorkerInfo {
 		return WorkerInfo{ID: WorkerID(w), State: state, Weight: 1, StartedAt: startedAt}
--- a/control/model.go
+++ b/control/model.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const modelsMax = 2e4 // models kept: beyond them the half that was requested longest ago is evicted
+const modelsMax = 2e4 // models held in memory: beyond them the half that was requested longest ago is evicted
 
 // modelGroup is a model group: its settings, and estimates over all its models.
 type modelGroup struct {
@@ -46,7 +46,7 @@
 	evictAt int // no eviction before there are so many: where most are in use, not with each new one
 }
 
-// forgetWorker discards what was believed of a worker that has started anew.
+// forgetWorker discards what was assumed of a worker that has started anew.
 func (t *modelTable) forgetWorker(restarted *worker) {
 	for _, m := range t.byID {
 		if restarted.index < len(m.replicas) && m.replicas[restarted.index] != nil {
--- a/control/modes.go
+++ b/control/modes.go
@@ -19,7 +19,7 @@
 func (e Effect) String() string { return effectWords[e] }
 
 // ParseEffect returns the effect that a settings value names, and NonRetriable for an unknown value.
-func ParseEffect(word string) Effect { return Effect(wordIndex(effectWords[:], word)) }
+func ParseEffect(name string) Effect { return Effect(indexOfName(effectWords[:], name)) }
 
 // DedupScope is the set of workers among which a repeated request is dropped.
 type DedupScope uint8
@@ -38,7 +38,7 @@
 func (s DedupScope) String() string { return scopeWords[s] }
 
 // ParseDedupScope returns the scope that a settings value names, and ScopeNone for an unknown value.
-func ParseDedupScope(word string) DedupScope { return DedupScope(wordIndex(scopeWords[:], word)) }
+func ParseDedupScope(name string) DedupScope { return DedupScope(indexOfName(scopeWords[:], name)) }
 
 // DiscoveryMode is how a dispatcher learns of changes to the list of workers.
 type DiscoveryMode uint8
@@ -55,8 +55,8 @@
 func (m DiscoveryMode) String() string { return discoveryWords[m] }
 
 // ParseDiscoveryMode returns the mode that a settings value names, and DiscoveryPush for an unknown value.
-func ParseDiscoveryMode(word string) DiscoveryMode {
-	return DiscoveryMode(wordIndex(discoveryWords[:], word))
+func ParseDiscoveryMode(name string) DiscoveryMode {
+	return DiscoveryMode(indexOfName(discoveryWords[:], name))
 }
 
 // MissPolicy is what a worker does with a request whose model it does not hold.
@@ -74,12 +74,12 @@
 func (p MissPolicy) String() string { return missWords[p] }
 
 // ParseMissPolicy returns the policy that a settings value names, and MissLoads for an unknown value.
-func ParseMissPolicy(word string) MissPolicy { return MissPolicy(wordIndex(missWords[:], word)) }
+func ParseMissPolicy(name string) MissPolicy { return MissPolicy(indexOfName(missWords[:], name)) }
 
-// wordIndex returns the index of a name, 0 for an unknown one.
-func wordIndex(words []string, word string) int {
-	for i, w := range words {
-		if w == word {
+// indexOfName returns the index of a name, 0 for an unknown one.
+func indexOfName(names []string, name string) int {
+	for i, known := range names {
+		if known == name {
 			return i
 		}
 	}
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// AttemptFinished learns from the outcome of an attempt, and goes on with its request where that has no answer yet.
+// AttemptFinished learns from the outcome of an attempt, and holds or retries its request where that has no answer yet.
 func (d *Dispatcher) AttemptFinished(result AttemptResult) {
 	req, a := d.pendingAttempt(result.ID, result.Attempt)
 	if a == nil {
@@ -67,7 +67,7 @@
 		d.retryBudget.recordResult(result.Result)
 	}
 	if result.Result == Cancelled || result.Result == TimedOut {
-		// The worker may go on with it: otherwise clients that leave early would seem to cost nothing.
+		// The worker may still run it: if that were ignored, clients that leave early would seem to cost nothing.
 		a.worker.ledger.recordAbandoned(d.now, d.runTime)
 	}
 }
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -7,7 +7,7 @@
 	ejectAt            = 0.3  // failure rate at which a worker is ejected: two failures close together
 	recoveryRampStart  = 1.0  // attempts/s admitted after an ejection
 	recoveryRampDone   = 16.0 // attempts/s at which the ejection ends: four doublings
-	failureScopeWindow = 5.0  // s for which a worker that succeeded for other traffic counts as sound for that traffic
+	failureScopeWindow = 5.0  // s before an attempt in which a good answer to other traffic shows that the worker itself is well
 	rejectBackoffMin   = 0.05 // s without new requests after a worker rejected one; doubles until it answers
 	rejectBackoffMax   = 0.5  // s, the longest backoff
 )
@@ -78,7 +78,7 @@
 }
 
 // failureScope returns the narrowest scope that a failure of one traffic class implicates. Where the latest answer to
-// any other class since then was a good one, that is the class at this worker, else the whole worker.
+// any other class since then was a good one, that is the class at this worker, else the worker itself.
 func (w *worker) failureScope(trafficClass int, since Seconds) *outlierDetector {
 	lastAnswer, answeredWell := since, false
 	for i := range w.outlierByClass {
--- a/control/placement.go
+++ b/control/placement.go
@@ -196,7 +196,7 @@
 	return lowest
 }
 
-// cheapest returns the best of the workers whose costs are too near the lowest to tell apart, nil if there is none.
+// cheapest returns the best of the workers whose costs are too near the lowest to be distinguished, nil if there is none.
 func (d *Dispatcher) cheapest(req *request, lowest Seconds) *worker {
 	var best *worker
 	requested, limit, highest := req.model, d.concurrencyLimit(req), uint64(0)
--- a/control/replica.go
+++ b/control/replica.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// unknownReplica stands for a replica of which nothing is known.
+// unknownReplica is read in place of a replica of which nothing is known.
 var unknownReplica = replica{warmUntil: math.Inf(-1)}
 
 // replica returns the record of the model on a worker, creating it where there is none.
--- a/control/rules.go
+++ b/control/rules.go
@@ -9,7 +9,7 @@
 		req.attempted >= d.maxAttempts || req.inFlight > 0 && !d.hedging {
 		return false
 	}
-	earlier := req.mayHaveRun() // the earliest attempt binds; later ones kept to its scope
+	earlier := req.mayHaveRun() // the earliest attempt binds; later ones were sent within its scope
 	if earlier == nil || req.group.effect == Retriable {
 		return true
 	}
--- a/control/worker.go
+++ b/control/worker.go
@@ -27,7 +27,7 @@
 	preferredAt uint64  // number of the last placement that had it among the preferred workers
 }
 
-// forgetHistory discards what was believed of a worker that has started anew: it is empty, and owed a new judgement.
+// forgetHistory discards what was learned of a worker that has restarted: it holds no models and has yet to fail.
 func (w *worker) forgetHistory() {
 	clear(w.outlierByClass)
 	w.outlier = outlierDetector{}
