--- a/control/estimates.go
+++ b/control/estimates.go
@@ -30,23 +30,23 @@
 // taken from its load reports where own traffic is sparse; otherwise each peer is assumed to queue as much there as this
 // dispatcher does over time, since all prefer the same workers for a model.
 func (d *Dispatcher) updateQueuedWork(on *worker) Seconds {
-	l := &on.ledger
+	ledger := &on.ledger
 	if d.sparseTraffic && len(d.inFlightFields) > 0 {
-		return max(l.queued, d.estimatedInFlight(on)*d.runTime/workerCores)
+		return max(ledger.queued, d.estimatedInFlight(on)*d.runTime/workerCores)
 	}
-	own := l.queued + l.stillAbandoned(d.now, d.runTime)*d.runTime
-	if d.dispatchers > 1 && l.meanQueuedAt < d.now {
-		l.meanQueued += (own - l.meanQueued) * d.peerWeight.between(l.meanQueuedAt, d.now, peerWorkWindow)
-		l.meanQueuedAt = d.now
+	own := ledger.queued + ledger.stillAbandoned(d.now, d.runTime)*d.runTime
+	if d.dispatchers > 1 && ledger.meanQueuedAt < d.now {
+		ledger.meanQueued += (own - ledger.meanQueued) * d.peerWeight.between(ledger.meanQueuedAt, d.now, peerWorkWindow)
+		ledger.meanQueuedAt = d.now
 	}
-	return own + (d.dispatchers-1)*l.meanQueued
+	return own + (d.dispatchers-1)*ledger.meanQueued
 }
 
 // learn updates the estimates from a successful attempt. One that waited for a load it did not start reveals neither.
-func (d *Dispatcher) learn(req *request, a *attempt, result AttemptResult) {
+func (d *Dispatcher) learn(req *request, answered *attempt, result AttemptResult) {
 	requested, group := req.model, req.group
 	switch {
-	case result.ModelState == ModelWarm || result.ModelState == ModelStateUnknown && !a.loading:
+	case result.ModelState == ModelWarm || result.ModelState == ModelStateUnknown && !answered.loading:
 		requested.learnRunTime(result.Duration)
 		d.runTime += estimateSmoothing / 2 * (result.Duration - d.runTime)
 		group.learnRunTime(result.Duration)
--- a/control/membership.go
+++ b/control/membership.go
@@ -45,17 +45,17 @@
 // evictWorkers forgets workers that have been gone for long and have no request in flight or held.
 func (d *Dispatcher) evictWorkers() {
 	for i := 0; i < len(d.workers.all); i++ {
-		w := d.workers.all[i]
-		if w.State != Gone {
-			w.goneAt = math.Inf(1)
+		known := d.workers.all[i]
+		if known.State != Gone {
+			known.goneAt = math.Inf(1)
 			continue
 		}
-		w.goneAt = math.Min(w.goneAt, d.now)
-		if d.now < w.goneAt+forgetGoneAfter || w.ledger.inFlight > 0 || d.inFlight.anyHeldFor(w) {
+		known.goneAt = math.Min(known.goneAt, d.now)
+		if d.now < known.goneAt+forgetGoneAfter || known.ledger.inFlight > 0 || d.inFlight.anyHeldFor(known) {
 			continue
 		}
 		for _, m := range d.models.byID {
-			m.dropReplica(w)
+			m.dropReplica(known)
 		}
 		d.workers.remove(i)
 		i--
@@ -69,8 +69,8 @@
 		if req.state != stateAttempt {
 			continue
 		}
-		a := req.latestAttempt()
-		if a.worker.State == Ready && a.sentAt > a.worker.StartedAt {
+		unsent := req.latestAttempt()
+		if unsent.worker.State == Ready && unsent.sentAt > unsent.worker.StartedAt {
 			continue
 		}
 		d.retractAttempt(req)
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -16,21 +16,21 @@
 
 // AttemptFinished learns from the outcome of an attempt, and holds or retries its request where that has no answer yet.
 func (d *Dispatcher) AttemptFinished(result AttemptResult) {
-	req, a := d.pendingAttempt(result.ID, result.Attempt)
-	if a == nil {
+	req, ended := d.pendingAttempt(result.ID, result.Attempt)
+	if ended == nil {
 		return
 	}
-	target := req.model.replica(a.worker)
+	target := req.model.replica(ended.worker)
 	d.held.eventSeen = true
-	d.updateQueuedWork(a.worker)
-	req.releaseAttempt(a, target)
-	a.state = attemptMayHaveRun
+	d.updateQueuedWork(ended.worker)
+	req.releaseAttempt(ended, target)
+	ended.state = attemptMayHaveRun
 	if result.Result.NeverRan() {
-		a.state = attemptNeverRan
+		ended.state = attemptNeverRan
 	}
-	d.recordOutcome(req, a, result)
+	d.recordOutcome(req, ended, result)
 	if result.Result == Succeeded {
-		d.attemptSucceeded(req, a, target, result)
+		d.attemptSucceeded(req, ended, target, result)
 		return
 	}
 	if result.Result == ModelNotLoaded {
@@ -40,7 +40,7 @@
 			return
 		}
 	} else {
-		d.attributeFailure(req, a, target, result)
+		d.attributeFailure(req, ended, target, result)
 	}
 	target.finishLoad()
 	d.releaseHeld(target, false)
@@ -57,27 +57,27 @@
 }
 
 // recordOutcome records what any outcome reveals: of the worker, its load, and the success of retries.
-func (d *Dispatcher) recordOutcome(req *request, a *attempt, result AttemptResult) {
+func (d *Dispatcher) recordOutcome(req *request, ended *attempt, result AttemptResult) {
 	if result.Result.FromWorker() {
 		answeredWell := result.Result == Succeeded || result.Result == ModelNotLoaded
-		a.worker.outlierByClass[req.trafficClass].recordAnswer(d.now, answeredWell)
+		ended.worker.outlierByClass[req.trafficClass].recordAnswer(d.now, answeredWell)
 	}
-	d.recordLoadReport(a.worker, result.LoadReport, reportSmoothing)
+	d.recordLoadReport(ended.worker, result.LoadReport, reportSmoothing)
 	if result.Attempt > 0 {
 		d.retryBudget.recordResult(result.Result)
 	}
 	if result.Result == Cancelled || result.Result == TimedOut {
 		// The worker may still run it: if that were ignored, clients that leave early would seem to cost nothing.
-		a.worker.ledger.recordAbandoned(d.now, d.runTime)
+		ended.worker.ledger.recordAbandoned(d.now, d.runTime)
 	}
 }
 
 // attemptSucceeded learns from a good answer, and releases the requests held for the replica.
-func (d *Dispatcher) attemptSucceeded(req *request, a *attempt, target *replica, result AttemptResult) {
-	d.learn(req, a, result)
-	d.recordSuccess(&a.worker.outlier)
-	d.recordSuccess(&a.worker.outlierByClass[req.trafficClass])
-	if a.sentAt > a.worker.StartedAt {
+func (d *Dispatcher) attemptSucceeded(req *request, ended *attempt, target *replica, result AttemptResult) {
+	d.learn(req, ended, result)
+	d.recordSuccess(&ended.worker.outlier)
+	d.recordSuccess(&ended.worker.outlierByClass[req.trafficClass])
+	if ended.sentAt > ended.worker.StartedAt {
 		target.warmUntil = d.now + d.keepAlive
 	}
 	target.finishLoad()
@@ -95,27 +95,27 @@
 
 // attributeFailure records a rejection or a failure where it belongs: with the model, the worker, or one traffic class at
 // the worker. A timeout at the client's deadline is no fault of the worker.
-func (d *Dispatcher) attributeFailure(req *request, a *attempt, target *replica, result AttemptResult) {
+func (d *Dispatcher) attributeFailure(req *request, ended *attempt, target *replica, result AttemptResult) {
 	switch result.Result {
 	case AtCapacity:
-		d.backOff(req, a)
+		d.backOff(req, ended)
 	case WorkerError, TimedOut, ConnectFailed, ConnectionReset:
 		if result.ModelState == LoadFailed {
 			target.markCold()
 		} else if result.Result != TimedOut || d.now < d.answerBy(req) {
-			d.recordFailure(a.worker.failureScope(req.trafficClass, a.sentAt-failureScopeWindow))
+			d.recordFailure(ended.worker.failureScope(req.trafficClass, ended.sentAt-failureScopeWindow))
 		}
 	}
 }
 
 // backOff gives a worker that rejected an attempt some time without new requests of that scope. Where the attempt needed a
 // load, it is given time without loads only: it lacks memory, or performs too many loads, and its warm replicas may do well.
-func (d *Dispatcher) backOff(req *request, a *attempt) {
-	scope := a.worker.failureScope(req.trafficClass, a.sentAt-failureScopeWindow)
-	a.rejected = d.sparseTraffic
+func (d *Dispatcher) backOff(req *request, ended *attempt) {
+	scope := ended.worker.failureScope(req.trafficClass, ended.sentAt-failureScopeWindow)
+	ended.rejected = d.sparseTraffic
 	until := scope.recordRejection(d.now)
-	if a.loading && req.model.preferred == 1 {
-		a.worker.loadBackoffUntil = until
+	if ended.loading && req.model.preferred == 1 {
+		ended.worker.loadBackoffUntil = until
 	} else {
 		scope.rejectedUntil = until
 	}
--- a/control/placement.go
+++ b/control/placement.go
@@ -127,30 +127,31 @@
 		latest = math.Min(latest, objectiveAt)
 	}
 	admitting := 0.0
-	for _, w := range d.workers.all {
-		w.score.cost = math.Inf(1)
-		if !d.allowed(req, w) {
+	for _, candidate := range d.workers.all {
+		candidate.score.cost = math.Inf(1)
+		if !d.allowed(req, candidate) {
 			continue
 		}
 		req.unplaceable = false
-		queue := d.updateQueuedWork(w)
+		queue := d.updateQueuedWork(candidate)
 		end := d.now + queue/workerSlots + min(requested.runTime, req.objective)/2
 		timely = timely || end <= objectiveAt
 		late := end > latest
-		if admits := d.admits(req, w); !admits || late {
+		if admits := d.admits(req, candidate); !admits || late {
 			backingOff = backingOff || !admits
 			req.tooLate = req.tooLate || late
 			continue
 		}
 		admitting++
-		w.score.cost = (queue + requested.runTime) / d.slowStart.capacityShare(d.now, w.StartedAt)
+		candidate.score.cost = (queue + requested.runTime) / d.slowStart.capacityShare(d.now, candidate.StartedAt)
 		// A quick error must not make a worker appear idle: its failures count as work to be repeated.
-		w.score.cost += max(w.outlier.failureRate, w.outlierByClass[req.trafficClass].failureRate) * (requested.loadTime + req.objective)
-		if req.tried(w) {
-			w.score.cost += triedPenalty
+		failureRate := max(candidate.outlier.failureRate, candidate.outlierByClass[req.trafficClass].failureRate)
+		candidate.score.cost += failureRate * (requested.loadTime + req.objective)
+		if req.tried(candidate) {
+			candidate.score.cost += triedPenalty
 		}
-		w.score.rank = preferenceRank(requested.id, w.ID)
-		d.placement.candidates = append(d.placement.candidates, w)
+		candidate.score.rank = preferenceRank(requested.id, candidate.ID)
+		d.placement.candidates = append(d.placement.candidates, candidate)
 	}
 	d.placement.admittingShare = math.Min(1, math.Max(admitting, 1)/math.Max(1, float64(d.workers.ready)))
 	return backingOff, timely
@@ -164,14 +165,14 @@
 
 // markPreferred marks the candidates that all dispatchers prefer for a model that should be loaded on several workers.
 func (d *Dispatcher) markPreferred(requested *model) {
-	p := &d.placement
+	scratch := &d.placement
 	if d.sparseTraffic {
-		p.candidates = topRanked(p.candidates, max(requested.preferred, probeCount))
+		scratch.candidates = topRanked(scratch.candidates, max(requested.preferred, probeCount))
 	}
-	p.number++
+	scratch.number++
 	if requested.preferred > 1 {
-		for _, w := range p.candidates[:min(len(p.candidates), requested.preferred)] {
-			w.score.preferredAt = p.number
+		for _, w := range scratch.candidates[:min(len(scratch.candidates), requested.preferred)] {
+			w.score.preferredAt = scratch.number
 		}
 	}
 }
@@ -180,18 +181,18 @@
 // work of warm replicas: those pending delay only another load.
 func (d *Dispatcher) scoreLoads(req *request, warmOnly bool) Seconds {
 	requested, lowest := req.model, math.Inf(1)
-	for _, w := range d.workers.all {
-		if w.score.cost > math.MaxFloat64 {
+	for _, candidate := range d.workers.all {
+		if candidate.score.cost > math.MaxFloat64 {
 			continue
 		}
-		w.score.warm = requested.peek(w).isWarm(d.now) || w.score.preferredAt == d.placement.number
-		if !w.score.warm {
-			w.score.cost += requested.loadTime
-			if warmOnly || d.now+w.ledger.pendingLoads/parallelLoads > req.deadline {
-				w.score.cost = math.Inf(1)
+		candidate.score.warm = requested.peek(candidate).isWarm(d.now) || candidate.score.preferredAt == d.placement.number
+		if !candidate.score.warm {
+			candidate.score.cost += requested.loadTime
+			if warmOnly || d.now+candidate.ledger.pendingLoads/parallelLoads > req.deadline {
+				candidate.score.cost = math.Inf(1)
 			}
 		}
-		lowest = min(lowest, w.score.cost)
+		lowest = min(lowest, candidate.score.cost)
 	}
 	return lowest
 }
@@ -201,22 +202,22 @@
 	var best *worker
 	requested, limit, highest := req.model, d.concurrencyLimit(req), uint64(0)
 	band := lowest + tieBand*requested.loadTime
-	for _, w := range d.workers.all {
-		if w.score.cost > band || w.score.cost > math.MaxFloat64 {
+	for _, candidate := range d.workers.all {
+		if candidate.score.cost > band || candidate.score.cost > math.MaxFloat64 {
 			continue
 		}
-		rank := w.score.rank >> 2
-		if w.score.warm {
+		rank := candidate.score.rank >> 2
+		if candidate.score.warm {
 			if d.sparseTraffic { // by cost, ties by chance: peers see the same load reports
-				rank = uint64(1e18 / (1 + w.score.cost + warmTieBand*requested.runTime*d.rnd.float()))
+				rank = uint64(1e18 / (1 + candidate.score.cost + warmTieBand*requested.runTime*d.rnd.float()))
 			}
 			rank |= rankWarm
 		}
-		if w.ledger.concurrency(d.now, d.runTime) < limit {
+		if candidate.ledger.concurrency(d.now, d.runTime) < limit {
 			rank |= rankHasCapacity
 		}
 		if best == nil || rank > highest {
-			best, highest = w, rank
+			best, highest = candidate, rank
 		}
 	}
 	return best
@@ -245,8 +246,8 @@
 // dispatch wants an attempt at a replica and reserves it in the ledgers.
 func (d *Dispatcher) dispatch(req *request, target *replica) {
 	on, requested := target.worker, req.model
-	a := &req.attempts[req.attempted]
-	*a = attempt{
+	added := &req.attempts[req.attempted]
+	*added = attempt{
 		worker:      on,
 		sentAt:      d.now,
 		runTime:     requested.runTime,
@@ -254,22 +255,22 @@
 		groupNumber: target.group.number,
 	}
 	if !target.isWarm(d.now) {
-		a.loading = true
-		a.expected = a.expected + requested.loadTime + on.ledger.pendingLoads
+		added.loading = true
+		added.expected = added.expected + requested.loadTime + on.ledger.pendingLoads
 	}
 	req.attempted++
 	req.inFlight++
 	req.state = stateAttempt
 	d.outbox.addRequest(req)
 	d.updateQueuedWork(on)
-	on.ledger.reserve(a)
+	on.ledger.reserve(added)
 	target.reserve()
 	d.chargeAdmission(req, on)
 }
 
 // retractAttempt takes back the latest attempt, which has not been sent yet.
 func (d *Dispatcher) retractAttempt(req *request) {
-	a := req.latestAttempt()
+	unsent := req.latestAttempt()
 	req.attempted--
-	req.releaseAttempt(a, req.model.replica(a.worker))
+	req.releaseAttempt(unsent, req.model.replica(unsent.worker))
 }
--- a/control/retry.go
+++ b/control/retry.go
@@ -20,8 +20,8 @@
 // hedgeLateAttempts considers a hedged request for each attempt in flight, until one is wanted.
 func (d *Dispatcher) hedgeLateAttempts(req *request) {
 	for i := 0; i < req.attempted && req.state == statePending && !req.streaming; i++ {
-		if a := &req.attempts[i]; a.state == attemptPending && !a.hedged && (d.isLost(a) || d.isSilent(req, a)) {
-			d.hedge(req, a)
+		if pending := &req.attempts[i]; pending.state == attemptPending && !pending.hedged && (d.isLost(pending) || d.isSilent(req, pending)) {
+			d.hedge(req, pending)
 		}
 	}
 }
@@ -39,10 +39,10 @@
 }
 
 // hedge sends a hedged request for a lost or silent attempt, where that is allowed. Silence counts as a failure.
-func (d *Dispatcher) hedge(req *request, a *attempt) {
-	a.hedged = true
-	if !d.isLost(a) {
-		d.recordFailure(a.worker.failureScope(req.trafficClass, a.sentAt))
+func (d *Dispatcher) hedge(req *request, late *attempt) {
+	late.hedged = true
+	if !d.isLost(late) {
+		d.recordFailure(late.worker.failureScope(req.trafficClass, late.sentAt))
 	}
 	if d.hedging {
 		d.retry(req)
