--- a/control/api.go
+++ b/control/api.go
@@ -47,16 +47,27 @@
 // Module is a dispatcher as its host drives it: SetNow sets the clock, the events of that moment follow in order of
 // arrival, and Reconcile emits the actions that follow from them.
 type Module interface {
+	// SetNow sets the clock for the events that follow.
 	SetNow(now Seconds)
+	// UpdateWorkers applies a watch event of the list of workers.
 	UpdateWorkers(kind WorkerListKind, version uint32, workers []WorkerInfo)
+	// RequestArrived admits a request.
 	RequestArrived(arrival Request)
+	// ResponseStarted records that an answer has begun to reach the client.
 	ResponseStarted(id RequestID, attempt int, worker WorkerID, elapsed Seconds)
+	// AttemptFinished records the outcome of an attempt.
 	AttemptFinished(result AttemptResult)
+	// RequestCancelled records that the client has left.
 	RequestCancelled(id RequestID)
+	// LoadFinished records the outcome of a load order.
 	LoadFinished(result LoadResult)
+	// ProbeFinished records the outcome of a probe.
 	ProbeFinished(result ProbeResult)
+	// PeerMessageReceived records a gossip message.
 	PeerMessageReceived(from PeerID, message []byte)
+	// TimerFired records that the delay of a SetTimer has passed.
 	TimerFired(timer TimerID)
+	// Reconcile emits the actions that follow from the events so far.
 	Reconcile()
 }
 
