--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -11,7 +11,7 @@
 
 // usualPlayer returns a player with the usual settings, which change may change.
 func usualPlayer(t *testing.T, change func(SettingValues)) *player {
-	p := &player{t: t, set: SettingValues{}, words: map[string]string{}}
+	p := &player{t: t, set: SettingValues{}, variables: map[string]string{}}
 	for _, line := range strings.FieldsFunc(usual, func(c rune) bool { return c == ';' || c == '\n' }) {
 		p.play(line)
 	}
@@ -20,7 +20,7 @@
 }
 
 func (p *player) attempts() (n int) {
-	for _, a := range p.acts {
+	for _, a := range p.actions {
 		if strings.HasPrefix(a, "attempt ") {
 			n++
 		}
@@ -148,7 +148,7 @@
 		p := usualPlayer(t, change)
 		p.play("wait 5")
 		p.play("workers A,start=4.5")
-		p.play("take 1-40 model=1 until=50")
+		p.play("arrive 1-40 model=1 deadline=50")
 		p.play("wait 0.05")
 		if n := p.attempts(); n > 2 {
 			t.Errorf("%s: %d attempts at a cold worker at once", name, n)
@@ -166,8 +166,8 @@
 		q.ID = 1
 		p.event(func() { p.d.RequestArrived(q) })
 		p.play("wait 2.1")
-		if n := p.attempts(); n > 1 || len(p.acts) < 1 || !strings.HasPrefix(p.acts[n], "shed 1") {
-			t.Errorf("%+v: %q", q, p.acts)
+		if n := p.attempts(); n > 1 || len(p.actions) < 1 || !strings.HasPrefix(p.actions[n], "shed 1") {
+			t.Errorf("%+v: %q", q, p.actions)
 		}
 	}
 	p := usualPlayer(t, func(s SettingValues) {
@@ -180,8 +180,8 @@
 		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: []float64{-4}})
 		p.d.ProbeFinished(ProbeResult{Worker: 'A', LoadReport: nil})
 	})
-	if w := p.d.workersByID['A']; w.reported != 0 || w.reportedAt != math.Inf(-1) {
-		t.Errorf("held %g, as of %g", w.reported, w.reportedAt)
+	if w := p.d.workers.byID['A']; w.report.inFlight != 0 || w.report.receivedAt != math.Inf(-1) {
+		t.Errorf("held %g, as of %g", w.report.inFlight, w.report.receivedAt)
 	}
 }
 
@@ -189,9 +189,9 @@
 func TestManyTenants(t *testing.T) {
 	p := usualPlayer(t, func(s SettingValues) { s["tenants"] = 4000.0 })
 	p.play("workers A B")
-	p.play("take 1-5 model=1 tenant=3999")
-	if w := p.d.workersByID['A']; len(w.classes) != len(p.d.groups) || p.attempts() == 0 {
-		t.Errorf("%d records, %d attempts", len(w.classes), p.attempts())
+	p.play("arrive 1-5 model=1 tenant=3999")
+	if w := p.d.workers.byID['A']; len(w.outlierByClass) != len(p.d.groups) || p.attempts() == 0 {
+		t.Errorf("%d records, %d attempts", len(w.outlierByClass), p.attempts())
 	}
 }
 
