--- a/control/control.go
+++ b/control/control.go
@@ -2,20 +2,6 @@
 
 import "math"
 
-// Defaults and bounds of the settings.
-const (
-	tickDefault      = 0.001 // s, and the next three: where nothing is told
-	askEveryDefault  = 10
-	fallDefault      = 1
-	sloDefault       = 1
-	dispatchersMax   = 1 << 16 // more are a mistake
-	timeoutDefault   = 60      // s that clients wait where nothing is told: long, but an answer comes
-	coldShareDefault = 0.1     // capacity share of a cold worker where none is told: a careful guess
-	shareMin         = 1e-3    // shares and multiples under it would divide by nearly nothing
-	spanMin          = 1e-3    // s, spans under it too: no clock here is finer
-	listMax          = 4096    // entries of a list of the settings: more is a mistake
-)
-
 // classesMax bounds the traffic classes counted at each worker, tenants times model groups: more would fill the memory.
 const classesMax = 512
 
@@ -67,25 +53,25 @@
 	d.workers.byID = map[WorkerID]*worker{}
 	d.models.byID = map[ModelID]*model{}
 	d.inFlight.byID = map[RequestID]int{}
-	d.subscription = newSubscription(s.discovery, s.askEvery)
+	d.subscription = newSubscription(s.discovery, s.maxPollInterval)
 	d.retryBudget = newRetryBudget()
-	d.loadBudget = loadBudget{window: s.loadWindow, base: s.loadFew, perRequest: s.loadShare}
+	d.loadBudget = loadBudget{window: s.loadBudgetWindow, base: s.loadBudgetBase, perRequest: s.loadBudgetPerRequest}
 	d.slowStart = slowStart{
-		duration:        s.warmAfter,
-		initialCapacity: s.coldShare,
+		duration:        s.slowStartDuration,
+		initialCapacity: s.slowStartCapacity,
 		overloadFactor:  s.overloadFactor,
-		overloadWindow:  s.fall,
+		overloadWindow:  s.overloadWindow,
 		dispatchers:     s.dispatchers,
 	}
 	d.placement.admittingShare = 1
 	d.runTime = initialRunTimeAll
-	d.ordersLoads = s.mayOrder && s.onMiss == MissRejects
+	d.ordersLoads = s.loadsAllowed && s.missPolicy == MissRejects
 	d.probesMax = probesPerRequest(s.probePrice)
 	d.inFlightFields = reportFieldsInFlight(s.reportFields)
 	for _, g := range s.groups {
 		g.loadTime = initialLoadTime
-		g.runTime = initialRunTime * g.slo
-		g.meanWork = initialRunTime * g.slo
+		g.runTime = initialRunTime * g.objective
+		g.meanWork = initialRunTime * g.objective
 	}
 	d.tenants = newTenantQuotas(s.quotas, s.dispatchers)
 	d.tenantClasses = max(1, len(d.tenants))
--- a/control/loadorder.go
+++ b/control/loadorder.go
@@ -26,7 +26,7 @@
 	target.orderPending = false
 	isLoaded := result.Result == Succeeded && result.Replicas > 0
 	if isLoaded {
-		target.warmUntil = d.now + d.keepAlive
+		target.warmUntil = d.now + d.modelKeepAlive
 		loaded.learnLoadTime(result.Duration)
 	} else {
 		target.markCold()
--- a/control/loadreport.go
+++ b/control/loadreport.go
@@ -19,7 +19,7 @@
 // probesPerRequest returns how many workers may be probed for one request. Fewer are where a probe is priced above what
 // it gains, as all dispatchers pay for theirs.
 func probesPerRequest(price float64) int {
-	return int(math.Min(probeCount, probeBudget/math.Max(shareMin*probeBudget, price)))
+	return int(math.Min(probeCount, probeBudget/math.Max(ratioMin*probeBudget, price)))
 }
 
 // reportFieldsInFlight returns which values of a load report count requests in flight. Those queued at the worker count
--- a/control/model.go
+++ b/control/model.go
@@ -9,16 +9,16 @@
 
 // modelGroup is a model group: its settings, and estimates over all its models.
 type modelGroup struct {
-	effect     Effect
-	scope      DedupScope
-	slo        Seconds // latency objective
-	timeout    Seconds
-	window     Seconds // time for which workers drop repeats
-	sloStretch float64 // the latency objective is longer by this multiple of a request's work
-	runTime    Seconds // smoothed answer time of warm replicas
-	runKnown   bool    // runTime has been learned from an answer
-	meanWork   Seconds // smoothed work of a request, for those without a hint
-	loadTime   Seconds // smoothed load time, for models not seen before
+	effect           Effect
+	dedupScope       DedupScope
+	objective        Seconds // latency objective
+	timeout          Seconds
+	dedupWindow      Seconds // time for which workers drop repeats
+	objectiveStretch float64 // the latency objective is longer by this multiple of a request's work
+	runTime          Seconds // smoothed answer time of warm replicas
+	runKnown         bool    // runTime has been learned from an answer
+	meanWork         Seconds // smoothed work of a request, for those without a hint
+	loadTime         Seconds // smoothed load time, for models not seen before
 }
 
 // model is one model: its estimates and its replicas.
--- a/control/modes.go
+++ b/control/modes.go
@@ -13,13 +13,13 @@
 	Retriable                  // a second run does no harm
 )
 
-var effectWords = [...]string{"non-retriable", "deduped", "retriable"}
+var effectNames = [...]string{"non-retriable", "deduped", "retriable"}
 
 // String returns the effect as it is written in the settings.
-func (e Effect) String() string { return effectWords[e] }
+func (e Effect) String() string { return effectNames[e] }
 
 // ParseEffect returns the effect that a settings value names, and NonRetriable for an unknown value.
-func ParseEffect(name string) Effect { return Effect(indexOfName(effectWords[:], name)) }
+func ParseEffect(name string) Effect { return Effect(indexOfName(effectNames[:], name)) }
 
 // DedupScope is the set of workers among which a repeated request is dropped.
 type DedupScope uint8
@@ -32,13 +32,13 @@
 	ScopeAll             // all workers
 )
 
-var scopeWords = [...]string{"", "cell", "zone", "all"}
+var scopeNames = [...]string{"", "cell", "zone", "all"}
 
 // String returns the scope as it is written in the settings.
-func (s DedupScope) String() string { return scopeWords[s] }
+func (s DedupScope) String() string { return scopeNames[s] }
 
 // ParseDedupScope returns the scope that a settings value names, and ScopeNone for an unknown value.
-func ParseDedupScope(name string) DedupScope { return DedupScope(indexOfName(scopeWords[:], name)) }
+func ParseDedupScope(name string) DedupScope { return DedupScope(indexOfName(scopeNames[:], name)) }
 
 // DiscoveryMode is how a dispatcher learns of changes to the list of workers.
 type DiscoveryMode uint8
@@ -49,14 +49,14 @@
 	DiscoverySubscribe                      // the dispatcher subscribes, and again after a failure
 )
 
-var discoveryWords = [...]string{"push", "ask"}
+var discoveryNames = [...]string{"push", "ask"}
 
 // String returns the mode as it is written in the settings.
-func (m DiscoveryMode) String() string { return discoveryWords[m] }
+func (m DiscoveryMode) String() string { return discoveryNames[m] }
 
 // ParseDiscoveryMode returns the mode that a settings value names, and DiscoveryPush for an unknown value.
 func ParseDiscoveryMode(name string) DiscoveryMode {
-	return DiscoveryMode(indexOfName(discoveryWords[:], name))
+	return DiscoveryMode(indexOfName(discoveryNames[:], name))
 }
 
 // MissPolicy is what a worker does with a request whose model it does not hold.
@@ -68,13 +68,13 @@
 	MissRejects                   // the worker rejects the request; the dispatcher may order a load
 )
 
-var missWords = [...]string{"load", "miss"}
+var missNames = [...]string{"load", "miss"}
 
 // String returns the policy as it is written in the settings.
-func (p MissPolicy) String() string { return missWords[p] }
+func (p MissPolicy) String() string { return missNames[p] }
 
 // ParseMissPolicy returns the policy that a settings value names, and MissLoads for an unknown value.
-func ParseMissPolicy(name string) MissPolicy { return MissPolicy(indexOfName(missWords[:], name)) }
+func ParseMissPolicy(name string) MissPolicy { return MissPolicy(indexOfName(missNames[:], name)) }
 
 // indexOfName returns the index of a name, 0 for an unknown one.
 func indexOfName(names []string, name string) int {
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -78,7 +78,7 @@
 	d.recordSuccess(&ended.worker.outlier)
 	d.recordSuccess(&ended.worker.outlierByClass[req.trafficClass])
 	if ended.sentAt > ended.worker.StartedAt {
-		target.warmUntil = d.now + d.keepAlive
+		target.warmUntil = d.now + d.modelKeepAlive
 	}
 	target.finishLoad()
 	d.releaseHeld(target, true)
--- a/control/rules.go
+++ b/control/rules.go
@@ -13,7 +13,7 @@
 	if earlier == nil || req.group.effect == Retriable {
 		return true
 	}
-	return d.withinDedupWindow(req, earlier) && inDedupScope(req.group.scope, earlier.worker, target)
+	return d.withinDedupWindow(req, earlier) && inDedupScope(req.group.dedupScope, earlier.worker, target)
 }
 
 // inDedupScope reports whether a worker drops a repeat of a request that another worker may have run.
@@ -32,14 +32,14 @@
 
 // withinDedupWindow reports whether a repeat of an attempt that may have run is still dropped within its scope.
 func (d *Dispatcher) withinDedupWindow(req *request, earlier *attempt) bool {
-	return req.group.effect == Deduplicated && d.now <= earlier.sentAt+req.group.window-d.answerMargin()
+	return req.group.effect == Deduplicated && d.now <= earlier.sentAt+req.group.dedupWindow-d.answerMargin()
 }
 
 // mayShed reports whether the client may be invited to retry, as a repeat is harmless (rule 2).
 func (d *Dispatcher) mayShed(req *request) bool {
 	earlier := req.mayHaveRun()
 	return !req.streaming && (earlier == nil || req.group.effect == Retriable ||
-		req.group.scope == ScopeAll && d.withinDedupWindow(req, earlier))
+		req.group.dedupScope == ScopeAll && d.withinDedupWindow(req, earlier))
 }
 
 // attemptsExhausted reports whether the rules bar every further attempt for good, at any worker: holding the request
--- a/control/settings.go
+++ b/control/settings.go
@@ -8,6 +8,24 @@
 	"strconv"
 )
 
+// Defaults of settings that are absent.
+const (
+	tickDefault              = 0.001 // s
+	maxPollIntervalDefault   = 10    // s
+	overloadWindowDefault    = 1     // s
+	objectiveDefault         = 1     // s
+	timeoutDefault           = 60    // s; long, but every request is answered in the end
+	slowStartCapacityDefault = 0.1   // share of a worker's capacity just after its start; a cautious estimate
+)
+
+// Bounds of the settings.
+const (
+	dispatchersMax = 1 << 16 // more are taken for a mistake
+	listMax        = 4096    // entries of a list; more are taken for a mistake
+	ratioMin       = 1e-3    // shares and factors: smaller ones would divide by almost zero
+	durationMin    = 1e-3    // s; the clocks of hosts are no finer
+)
+
 // Settings are the settings of a dispatcher. The zero value holds the default of every setting.
 //
 // A number is absent where its field is zero, or where its Optional is unset if zero is a value of its own. A number out of
@@ -175,42 +193,42 @@
 
 // settings are the resolved settings: checked, with the default in place of each that is absent or unusable.
 type settings struct {
-	tick, askEvery, fall, warmAfter, keepAlive, loadWindow, retryAfterMax  Seconds
-	coldShare, overloadFactor, loadFew, loadShare, dispatchers, probePrice float64
-	maxAttempts                                                            int // attempts of one request
-	hedging, cancel, probing, retryAfter, mayOrder                         bool
-	discovery                                                              DiscoveryMode
-	onMiss                                                                 MissPolicy
-	reportFields                                                           []string
-	groups                                                                 []*modelGroup
-	quotas                                                                 []float64 // of tenants, requests a second
+	tick, maxPollInterval, overloadWindow, slowStartDuration, modelKeepAlive, loadBudgetWindow, retryAfterMax Seconds
+	slowStartCapacity, overloadFactor, loadBudgetBase, loadBudgetPerRequest, dispatchers, probePrice          float64
+	maxAttempts                                                                                               int // attempts of one request
+	hedging, cancel, probing, retryAfter, loadsAllowed                                                        bool
+	discovery                                                                                                 DiscoveryMode
+	missPolicy                                                                                                MissPolicy
+	reportFields                                                                                              []string
+	groups                                                                                                    []*modelGroup
+	quotas                                                                                                    []float64 // of tenants, requests a second
 }
 
 // resolve checks all settings and puts the defaults in place. It runs once, at the start of a dispatcher.
 func resolve(from Settings) (settings, *settingProblems) {
 	p := &settingProblems{malformed: from.malformed}
 	s := settings{
-		tick:           p.optional("tick", from.Tick, tickDefault, 0, 1),
-		dispatchers:    p.number("dispatchers", from.Dispatchers, 1, 1, dispatchersMax),
-		discovery:      word(p, "discovery", from.Discovery.Mode, discoveryWords[:]),
-		askEvery:       p.span("rules.ask_every", from.Discovery.BackoffMax, askEveryDefault),
-		fall:           p.span("rules.fall", from.SlowStart.OverloadWindow, fallDefault),
-		warmAfter:      p.number("rules.warm_after", from.SlowStart.Duration, 0, 0, never),
-		coldShare:      math.Max(shareMin, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, coldShareDefault, 0, 1)),
-		overloadFactor: p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, shareMin, never),
-		keepAlive:      p.optional("models.keep", from.Loads.KeepAlive, never, 0, never), // until a miss or a restart is seen
-		mayOrder:       p.flag("models.orders", from.Loads.Orders),
-		onMiss:         word(p, "models.on_miss", from.Loads.OnMiss, missWords[:]),
-		loadWindow:     p.number("models.load_window", from.Loads.Window, 0, 0, never),
-		loadFew:        p.number("models.load_few", from.Loads.Base, 0, 0, never),
-		loadShare:      p.number("models.load_share", from.Loads.PerRequest, 0, 0, never),
-		maxAttempts:    min(maxAttempts, int(p.number("limits.max_attempts", from.Attempts.Max, 1, 1, never))),
-		hedging:        p.flag("limits.hedging", from.Attempts.Hedging),
-		cancel:         p.flag("limits.cancel", from.Attempts.Cancel),
-		probing:        p.flag("limits.probes", from.Probes.Allowed),
-		retryAfter:     p.flag("limits.retry_after", from.RetryAfter.Allowed),
-		retryAfterMax:  p.number("limits.max_retry_after", from.RetryAfter.Max, 0, 0, never),
-		probePrice:     p.number("prices.probe", from.Probes.Price, 0, 0, never),
+		tick:                 p.optional("tick", from.Tick, tickDefault, 0, 1),
+		dispatchers:          p.number("dispatchers", from.Dispatchers, 1, 1, dispatchersMax),
+		discovery:            word(p, "discovery", from.Discovery.Mode, discoveryNames[:]),
+		maxPollInterval:      p.span("rules.ask_every", from.Discovery.BackoffMax, maxPollIntervalDefault),
+		overloadWindow:       p.span("rules.fall", from.SlowStart.OverloadWindow, overloadWindowDefault),
+		slowStartDuration:    p.number("rules.warm_after", from.SlowStart.Duration, 0, 0, never),
+		slowStartCapacity:    math.Max(ratioMin, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, slowStartCapacityDefault, 0, 1)),
+		overloadFactor:       p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, ratioMin, never),
+		modelKeepAlive:       p.optional("models.keep", from.Loads.KeepAlive, never, 0, never), // until a miss or a restart is seen
+		loadsAllowed:         p.flag("models.orders", from.Loads.Orders),
+		missPolicy:           word(p, "models.on_miss", from.Loads.OnMiss, missNames[:]),
+		loadBudgetWindow:     p.number("models.load_window", from.Loads.Window, 0, 0, never),
+		loadBudgetBase:       p.number("models.load_few", from.Loads.Base, 0, 0, never),
+		loadBudgetPerRequest: p.number("models.load_share", from.Loads.PerRequest, 0, 0, never),
+		maxAttempts:          min(maxAttempts, int(p.number("limits.max_attempts", from.Attempts.Max, 1, 1, never))),
+		hedging:              p.flag("limits.hedging", from.Attempts.Hedging),
+		cancel:               p.flag("limits.cancel", from.Attempts.Cancel),
+		probing:              p.flag("limits.probes", from.Probes.Allowed),
+		retryAfter:           p.flag("limits.retry_after", from.RetryAfter.Allowed),
+		retryAfterMax:        p.number("limits.max_retry_after", from.RetryAfter.Max, 0, 0, never),
+		probePrice:           p.number("prices.probe", from.Probes.Price, 0, 0, never),
 	}
 	if !s.retryAfter {
 		s.retryAfterMax = 0
@@ -242,12 +260,12 @@
 
 func (p *settingProblems) group(prefix string, from GroupSettings) *modelGroup {
 	return &modelGroup{
-		effect:     word(p, prefix+"effect", from.Effect, effectWords[:]),
-		scope:      word(p, prefix+"scope", from.Scope, scopeWords[:]),
-		window:     p.number(prefix+"window", from.Window, 0, 0, never),
-		slo:        p.span(prefix+"slo", from.SLO.value, sloDefault),
-		sloStretch: p.number(prefix+"slo_stretch", from.SLOStretch, 0, 0, never),
-		timeout:    p.span(prefix+"timeout", from.Timeout.value, timeoutDefault),
+		effect:           word(p, prefix+"effect", from.Effect, effectNames[:]),
+		dedupScope:       word(p, prefix+"scope", from.Scope, scopeNames[:]),
+		dedupWindow:      p.number(prefix+"window", from.Window, 0, 0, never),
+		objective:        p.span(prefix+"slo", from.SLO.value, objectiveDefault),
+		objectiveStretch: p.number(prefix+"slo_stretch", from.SLOStretch, 0, 0, never),
+		timeout:          p.span(prefix+"timeout", from.Timeout.value, timeoutDefault),
 	}
 }
 
@@ -275,7 +293,7 @@
 
 // span returns seconds by which something is divided or for which something waits.
 func (p *settingProblems) span(name string, value, fallback Seconds) Seconds {
-	return p.number(name, value, fallback, spanMin, never)
+	return p.number(name, value, fallback, durationMin, never)
 }
 
 // length returns the length of a list, 0 where it is malformed or too large.
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -77,13 +77,13 @@
 	if len(problems.unusable) > 0 {
 		t.Errorf("a zero is unusable: %v", problems.unusable)
 	}
-	if absent.tick != tickDefault || absent.coldShare != coldShareDefault || absent.keepAlive != never || absent.quotas[0] != never {
+	if absent.tick != tickDefault || absent.slowStartCapacity != slowStartCapacityDefault || absent.modelKeepAlive != never || absent.quotas[0] != never {
 		t.Errorf("absent: %+v", absent)
 	}
-	if zero.tick != 0 || zero.coldShare != shareMin || zero.keepAlive != 0 || zero.quotas[0] != 0 {
+	if zero.tick != 0 || zero.slowStartCapacity != ratioMin || zero.modelKeepAlive != 0 || zero.quotas[0] != 0 {
 		t.Errorf("zero: %+v", zero)
 	}
-	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].slo != sloDefault || zero.groups[0].timeout != timeoutDefault {
+	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].objective != objectiveDefault || zero.groups[0].timeout != timeoutDefault {
 		t.Errorf("groups: zero %+v, absent %+v", zero.groups[0], absent.groups[0])
 	}
 }
--- a/control/settings_values.go
+++ b/control/settings_values.go
@@ -34,7 +34,7 @@
 		Tick:        p.optional("tick"),
 		Dispatchers: p.number("dispatchers"),
 		Discovery: DiscoverySettings{
-			Mode:       DiscoveryMode(p.word("discovery", discoveryWords[:])),
+			Mode:       DiscoveryMode(p.word("discovery", discoveryNames[:])),
 			BackoffMax: p.number("rules.ask_every"),
 		},
 		SlowStart: SlowStartSettings{
@@ -44,7 +44,7 @@
 			OverloadWindow:  p.number("rules.fall"),
 		},
 		Loads: LoadSettings{
-			OnMiss:     MissPolicy(p.word("models.on_miss", missWords[:])),
+			OnMiss:     MissPolicy(p.word("models.on_miss", missNames[:])),
 			Orders:     p.flag("models.orders"),
 			KeepAlive:  p.optional("models.keep"),
 			Window:     p.number("models.load_window"),
@@ -99,8 +99,8 @@
 
 func (p *settingsParser) group(prefix string) GroupSettings {
 	return GroupSettings{
-		Effect:     Effect(p.word(prefix+"effect", effectWords[:])),
-		Scope:      DedupScope(p.word(prefix+"scope", scopeWords[:])),
+		Effect:     Effect(p.word(prefix+"effect", effectNames[:])),
+		Scope:      DedupScope(p.word(prefix+"scope", scopeNames[:])),
 		Window:     p.number(prefix + "window"),
 		SLO:        p.optional(prefix + "slo"),
 		SLOStretch: p.number(prefix + "slo_stretch"),
