--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -13,87 +13,87 @@
 
 // Conn is one connection.
 type Conn struct {
-	l        *Loop
-	h        Handler
-	fd       int
-	peer     netip.AddrPort
-	in, out  []byte
-	sent     int // of out
-	total    uint64
-	interest uint32
-	up       bool
-	dirty    bool
-	paused   bool
-	again    bool // in the loop's list of those with bytes left over
-	waits    bool // the kernel took less than there was
-	notify   bool // Drained is wanted in any case
-	linger   bool
-	eof      bool // the peer has closed its side while written bytes wait
-	dialing  bool
-	rests    uint32  // how often it rested
-	resting  bool    // the kernel has no memory for it now
-	missed   bool    // it was not heard for a while: all of it is read at once
-	behind   bool    // what is there may have come in before the latest looks
-	since    float64 // and after this time
-	lookedIn int64   // the latest look when it fell behind
-	heardAt  float64 // when the bytes in hand came in
-	giveUpAt float64 // when a connection that does not come up is given up
-	timer    Timer   // connect time-out, then linger
+	loop              *Loop
+	handler           Handler
+	fd                int
+	peer              netip.AddrPort
+	in, out           []byte
+	outSent           int // of out
+	sentBytes         uint64
+	interest          uint32
+	established       bool
+	writePending      bool
+	paused            bool
+	redeliveryPending bool // in the loop's list of those with bytes left over
+	writeBlocked      bool // the kernel took less than there was
+	notifyFlushed     bool // Drained is wanted in any case
+	lingering         bool
+	peerClosedSide    bool // the peer has closed its side while written bytes wait
+	dialing           bool
+	readPauses        uint32  // how often it rested
+	backingOff        bool    // the kernel has no memory for it now
+	wasUnwatched      bool    // it was not heard for a while: all of it is read at once
+	hasUnread         bool    // what is there may have come in before the latest looks
+	unreadAfter       float64 // and after this time
+	unreadPoll        int64   // the latest look when it fell behind
+	receivedAt        float64 // when the bytes in hand came in
+	connectDeadline   float64 // when a connection that does not come up is given up
+	timer             Timer   // connect time-out, then linger
 }
 
 // Peer is the other side's address.
 func (c *Conn) Peer() netip.AddrPort { return c.peer }
 
 // Open tells whether the connection is up or coming up.
-func (c *Conn) Open() bool { return c.fd >= 0 && !c.linger }
+func (c *Conn) Open() bool { return c.fd >= 0 && !c.lingering }
 
 // Established tells whether the connection is established.
-func (c *Conn) Established() bool { return c.up }
+func (c *Conn) Established() bool { return c.established }
 
 // SentBytes counts the bytes the kernel has taken, Queued those and the ones that still wait.
-func (c *Conn) SentBytes() uint64 { return c.total }
+func (c *Conn) SentBytes() uint64 { return c.sentBytes }
 
 // WrittenBytes counts all bytes ever written to the connection.
-func (c *Conn) WrittenBytes() uint64 { return c.total + uint64(len(c.out)-c.sent) }
+func (c *Conn) WrittenBytes() uint64 { return c.sentBytes + uint64(len(c.out)-c.outSent) }
 
 // UnsentBytes is how many written bytes the kernel has not taken.
-func (c *Conn) UnsentBytes() int { return len(c.out) - c.sent }
+func (c *Conn) UnsentBytes() int { return len(c.out) - c.outSent }
 
 // Write queues bytes; they go out at the end of the turn. b may be used again at once.
 func (c *Conn) Write(b []byte) {
-	if c.fd < 0 && !c.dialing || c.linger {
+	if c.fd < 0 && !c.dialing || c.lingering {
 		return
 	}
 	if c.out == nil {
-		c.out = c.l.buffer()
+		c.out = c.loop.takeBuffer()
 	}
 	c.out = append(c.out, b...)
-	c.mark()
+	c.scheduleWrite()
 }
 
 // Unwrite takes queued bytes back, from one position to another as Queued counted them. It returns false, and takes
 // nothing back, where some have gone to the kernel. What was queued behind them moves up.
 func (c *Conn) Unwrite(from, to uint64) bool {
-	if c.fd < 0 || c.linger || from < c.total || to > c.WrittenBytes() || from > to {
+	if c.fd < 0 || c.lingering || from < c.sentBytes || to > c.WrittenBytes() || from > to {
 		return false
 	}
-	i, j := c.sent+int(from-c.total), c.sent+int(to-c.total)
+	i, j := c.outSent+int(from-c.sentBytes), c.outSent+int(to-c.sentBytes)
 	c.out = append(c.out[:i], c.out[j:]...)
 	return true
 }
 
-func (c *Conn) mark() {
-	if !c.dirty && c.up {
-		c.dirty = true
-		c.l.dirty = append(c.l.dirty, c)
+func (c *Conn) scheduleWrite() {
+	if !c.writePending && c.established {
+		c.writePending = true
+		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
 	}
 }
 
 // Pause stops Data; the kernel's buffer then holds the peer back. A peer that leaves is still noticed.
 func (c *Conn) Pause() {
 	if !c.paused {
-		c.paused, c.since = true, c.l.now
-		c.want(c.interest &^ unix.EPOLLIN)
+		c.paused, c.unreadAfter = true, c.loop.now
+		c.setInterest(c.interest &^ unix.EPOLLIN)
 	}
 }
 
@@ -103,23 +103,23 @@
 		return
 	}
 	c.paused = false
-	c.fallBehind(c.since)
-	c.want(c.interest | unix.EPOLLIN)
+	c.markUnread(c.unreadAfter)
+	c.setInterest(c.interest | unix.EPOLLIN)
 	c.Redeliver()
 }
 
 // Redeliver lets Data be called in this turn for bytes it left before, if there are any.
 func (c *Conn) Redeliver() {
-	if len(c.in) > 0 && !c.again {
-		c.again = true
-		c.l.refeed = append(c.l.refeed, c)
+	if len(c.in) > 0 && !c.redeliveryPending {
+		c.redeliveryPending = true
+		c.loop.pendingRedelivery = append(c.loop.pendingRedelivery, c)
 	}
 }
 
-func (c *Conn) want(events uint32) {
+func (c *Conn) setInterest(events uint32) {
 	if c.fd >= 0 && events != c.interest {
 		c.interest = events
-		c.l.change(c.fd, events)
+		c.loop.setEvents(c.fd, events)
 	}
 }
 
@@ -137,64 +137,64 @@
 // CloseFlushed ends the connection when all written bytes have gone out; what the peer still sends is dropped for a
 // while, as unread bytes would make the kernel reset it and the last answer with it. Handlers are not told.
 func (c *Conn) CloseFlushed() {
-	if c.fd < 0 || c.linger {
+	if c.fd < 0 || c.lingering {
 		return
 	}
-	if !c.up {
+	if !c.established {
 		c.drop()
 		return
 	}
-	c.linger = true
-	c.l.lingering++
+	c.lingering = true
+	c.loop.lingeringCount++
 	c.timer.Fire = c.drop
-	c.l.Start(&c.timer, 30) // for the flush; a peer that reads nothing for that long is cut off
-	c.want(c.interest | unix.EPOLLIN)
-	c.mark()
-	c.l.give(c.in)
+	c.loop.Start(&c.timer, 30) // for the flush; a peer that reads nothing for that long is cut off
+	c.setInterest(c.interest | unix.EPOLLIN)
+	c.scheduleWrite()
+	c.loop.recycleBuffer(c.in)
 	c.in = nil
 }
 
 // Flush hands what is written to the kernel now, as far as it takes it.
 func (c *Conn) Flush() {
-	if c.fd >= 0 && c.up {
+	if c.fd >= 0 && c.established {
 		c.flush()
 	}
 }
 
 func (c *Conn) drop() {
 	if c.fd >= 0 {
-		c.l.leave(c.fd)
+		c.loop.unregister(c.fd)
 		c.fd = -1
 	}
-	c.gone()
+	c.release()
 }
 
-// gone hands back what the connection held, once.
-func (c *Conn) gone() {
-	c.l.Cancel(&c.timer)
-	if c.h == nil {
+// release hands back what the connection held, once.
+func (c *Conn) release() {
+	c.loop.Cancel(&c.timer)
+	if c.handler == nil {
 		return
 	}
-	c.h = nil
-	if c.linger {
-		c.l.lingering--
+	c.handler = nil
+	if c.lingering {
+		c.loop.lingeringCount--
 	}
-	c.l.give(c.in)
-	c.l.give(c.out)
-	c.in, c.out, c.sent, c.up, c.dialing = nil, nil, 0, false, false
-	c.l.conns--
-	c.l.Stats.Connections.Add(-1)
-	for _, ln := range c.l.listeners {
+	c.loop.recycleBuffer(c.in)
+	c.loop.recycleBuffer(c.out)
+	c.in, c.out, c.outSent, c.established, c.dialing = nil, nil, 0, false, false
+	c.loop.connCount--
+	c.loop.Stats.Connections.Add(-1)
+	for _, ln := range c.loop.listeners {
 		if ln.paused && !ln.timer.Pending() {
 			ln.resume()
 		}
 	}
 }
 
-// end tells the handler and drops the connection.
-func (c *Conn) end(err error) {
-	if h := c.h; h != nil {
-		linger := c.linger
+// fail tells the handler and drops the connection.
+func (c *Conn) fail(err error) {
+	if h := c.handler; h != nil {
+		linger := c.lingering
 		c.drop()
 		if !linger {
 			h.Closed(c, err)
@@ -202,29 +202,29 @@
 	}
 }
 
-func (c *Conn) ready(events uint32) {
-	if !c.up {
+func (c *Conn) handleEvents(events uint32) {
+	if !c.established {
 		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err == nil && code != 0 {
 			err = syscall.Errno(code)
 		}
 		if err != nil {
-			c.end(fmt.Errorf("connect %s: %w", c.peer, err))
+			c.fail(fmt.Errorf("connect %s: %w", c.peer, err))
 			return
 		}
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
-		c.up = true
-		c.l.Cancel(&c.timer)
-		c.want(unix.EPOLLIN | unix.EPOLLRDHUP)
-		c.h.Connected(c)
+		c.established = true
+		c.loop.Cancel(&c.timer)
+		c.setInterest(unix.EPOLLIN | unix.EPOLLRDHUP)
+		c.handler.Connected(c)
 		if c.fd >= 0 && len(c.out) > 0 {
-			c.mark()
+			c.scheduleWrite()
 		}
 		return
 	}
-	if events&unix.EPOLLOUT != 0 && c.waits {
+	if events&unix.EPOLLOUT != 0 && c.writeBlocked {
 		c.flush()
 	}
 	if c.fd < 0 {
@@ -236,14 +236,14 @@
 	leaves := events&(unix.EPOLLERR|unix.EPOLLHUP|unix.EPOLLRDHUP) != 0
 	if c.paused {
 		if leaves {
-			c.read(c.cameAfter())
+			c.read(c.arrivedAfter())
 		}
 		return
 	}
-	after := c.cameAfter()
-	most := 1                                 // bytes after which no further read is made
-	if leaves || c.l.catchingUp || c.missed { // all of it, as the peer may have left since
-		most = readsMore * readSize
+	after := c.arrivedAfter()
+	most := 1                                          // bytes after which no further read is made
+	if leaves || c.loop.catchingUp || c.wasUnwatched { // all of it, as the peer may have left since
+		most = maxCatchUpReads * readBufferBytes
 	}
 	taken := 0
 	for taken < most && c.fd >= 0 && !c.paused {
@@ -252,65 +252,65 @@
 			break
 		}
 		if len(c.in) > 0 { // a message in part: the rest may be there, as a read may be short
-			most = max(most, readSize)
+			most = max(most, readBufferBytes)
 		}
 	}
-	if taken == 0 || len(c.in) > 0 || c.resting { // more may be there than was read: the next look tells
-		c.fallBehind(after)
+	if taken == 0 || len(c.in) > 0 || c.backingOff { // more may be there than was read: the next look tells
+		c.markUnread(after)
 	}
-	c.missed = c.missed && taken == 0
+	c.wasUnwatched = c.wasUnwatched && taken == 0
 }
 
 func (c *Conn) flush() {
-	if w, ok := c.h.(WriteInterceptor); ok && !c.linger {
+	if w, ok := c.handler.(WriteInterceptor); ok && !c.lingering {
 		if w.BeforeWrite(c); c.fd < 0 {
 			return
 		}
 	}
-	for c.sent < len(c.out) {
-		n, err := c.l.kernel.Write(c.fd, c.out[c.sent:])
+	for c.outSent < len(c.out) {
+		n, err := c.loop.kernel.Write(c.fd, c.out[c.outSent:])
 		switch err {
 		case nil:
 		case unix.EINTR:
 			continue
 		case unix.EAGAIN:
-			c.waits = true
-			c.want(c.interest | unix.EPOLLOUT)
+			c.writeBlocked = true
+			c.setInterest(c.interest | unix.EPOLLOUT)
 			return
 		case unix.ENOBUFS, unix.ENOMEM:
-			c.waits = true
-			c.rest()
+			c.writeBlocked = true
+			c.backOff()
 			return
 		default:
 			c.ReadNow() // what the peer had said before counts
-			c.end(os.NewSyscallError("write", err))
+			c.fail(os.NewSyscallError("write", err))
 			return
 		}
-		c.sent += n
-		c.total += uint64(n)
+		c.outSent += n
+		c.sentBytes += uint64(n)
 	}
-	c.l.give(c.out)
-	c.out, c.sent = nil, 0
-	if c.linger && c.eof {
+	c.loop.recycleBuffer(c.out)
+	c.out, c.outSent = nil, 0
+	if c.lingering && c.peerClosedSide {
 		c.drop()
 		return
 	}
-	if c.linger {
+	if c.lingering {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
-		c.l.Start(&c.timer, lingerSpan)
+		c.loop.Start(&c.timer, lingerTimeout)
 	}
-	tell := c.waits || c.notify
-	if c.notify = false; c.waits {
-		c.waits = false
-		c.want(c.interest &^ unix.EPOLLOUT)
+	tell := c.writeBlocked || c.notifyFlushed
+	if c.notifyFlushed = false; c.writeBlocked {
+		c.writeBlocked = false
+		c.setInterest(c.interest &^ unix.EPOLLOUT)
 	}
-	if tell && !c.linger {
-		c.h.Flushed(c)
+	if tell && !c.lingering {
+		c.handler.Flushed(c)
 	}
 }
 
 // NotifyFlushed asks for Drained after what is written now, also where it goes out at once.
-func (c *Conn) NotifyFlushed() { c.notify = true }
+func (c *Conn) NotifyFlushed() { c.notifyFlushed = true }
 
 // WriteInterceptor is a Handler that wants to look once more at what is about to go to the kernel.
 type WriteInterceptor interface {
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -21,49 +21,49 @@
 // Dial begins a connection; h hears Opened, or Closed if it does not come up within timeout seconds. What fails for want
 // of this machine's means is tried again within that time.
 func (l *Loop) Dial(to netip.AddrPort, timeout float64, h Handler) *Conn {
-	c := &Conn{l: l, h: h, fd: -1, peer: to, interest: unix.EPOLLOUT, dialing: true, giveUpAt: l.now + timeout}
-	c.timer.Fire = c.dialTimeout
-	l.conns++
+	c := &Conn{loop: l, handler: h, fd: -1, peer: to, interest: unix.EPOLLOUT, dialing: true, connectDeadline: l.now + timeout}
+	c.timer.Fire = c.onConnectTimer
+	l.connCount++
 	l.Stats.Connections.Add(1)
 	l.Stats.Dialled.Add(1)
-	c.dial()
+	c.tryDial()
 	return c
 }
 
-func (c *Conn) dial() {
-	l := c.l
-	fd, err := l.connect(c.peer)
+func (c *Conn) tryDial() {
+	l := c.loop
+	fd, err := l.startConnect(c.peer)
 	if err == nil {
 		c.fd = fd
-		l.enter(fd, c.interest, entry{c: c})
-		l.Start(&c.timer, c.giveUpAt-l.now)
+		l.register(fd, c.interest, registration{conn: c})
+		l.Start(&c.timer, c.connectDeadline-l.now)
 		return
 	}
 	if err == unix.EMFILE && l.OnDescriptorShortage != nil {
 		l.OnDescriptorShortage()
 	}
-	if passing(err) && l.now+localRest < c.giveUpAt {
+	if isRetryable(err) && l.now+localFailureBackoff < c.connectDeadline {
 		l.Stats.LocalFailures.Add(1)
-		l.Start(&c.timer, localRest)
+		l.Start(&c.timer, localFailureBackoff)
 		return
 	}
-	if ours(err) {
+	if isLocalError(err) {
 		err = &LocalError{err}
 	}
-	l.Defer(func() { c.end(fmt.Errorf("connect %s: %w", c.peer, err)) })
+	l.Defer(func() { c.fail(fmt.Errorf("connect %s: %w", c.peer, err)) })
 }
 
-// dialTimeout tries again what failed here, or gives up what does not come up.
-func (c *Conn) dialTimeout() {
+// onConnectTimer tries again what failed here, or gives up what does not come up.
+func (c *Conn) onConnectTimer() {
 	if c.fd < 0 {
-		c.dial()
+		c.tryDial()
 		return
 	}
-	c.end(ErrConnectTimeout)
+	c.fail(ErrConnectTimeout)
 }
 
-// connect begins a connection on a new socket.
-func (l *Loop) connect(to netip.AddrPort) (int, error) {
+// startConnect begins a connection on a new socket.
+func (l *Loop) startConnect(to netip.AddrPort) (int, error) {
 	domain, sa := sockaddr(to)
 	fd, err := l.kernel.Socket(domain, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -78,8 +78,8 @@
 	return -1, err
 }
 
-// ours tells whether an error of socket or connect speaks of this machine and not of the peer.
-func ours(err error) bool {
+// isLocalError tells whether an error of socket or connect speaks of this machine and not of the peer.
+func isLocalError(err error) bool {
 	switch err {
 	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN:
 		return true
@@ -87,5 +87,7 @@
 	return false
 }
 
-// passing tells whether an error is worth another try: what is ours, and a network that is down, which may be so for all.
-func passing(err error) bool { return ours(err) || err == unix.ENETUNREACH || err == unix.ENETDOWN }
+// isRetryable tells whether an error is worth another try: what is ours, and a network that is down, which may be so for all.
+func isRetryable(err error) bool {
+	return isLocalError(err) || err == unix.ENETUNREACH || err == unix.ENETDOWN
+}
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -17,16 +17,16 @@
 	// With one known to wait it is asked to make room.
 	Room func(makeIt bool) bool
 
-	l        *Loop
-	fd       int
-	addr     netip.AddrPort
-	accepted func(c *Conn) Handler
-	rest     float64
-	timer    Timer
-	paused   bool
-	draining bool
-	behind   bool    // connections may wait from before the last look
-	emptyAt  float64 // the backlog was empty then, or later
+	loop           *Loop
+	fd             int
+	addr           netip.AddrPort
+	newHandler     func(c *Conn) Handler
+	backoff        float64
+	timer          Timer
+	paused         bool
+	draining       bool
+	mayHaveWaiting bool    // connections may wait from before the last look
+	knownEmptyAt   float64 // the backlog was empty then, or later
 }
 
 // Listen opens a TCP listener; accepted returns the handler of a new connection. Port 0 takes a free one, which
@@ -39,18 +39,18 @@
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err = l.kernel.Bind(fd, sa); err == nil {
-		err = l.kernel.Listen(fd, backlogSize)
+		err = l.kernel.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
-	ln := &Listener{l: l, fd: fd, addr: at, accepted: accepted, emptyAt: l.now}
+	ln := &Listener{loop: l, fd: fd, addr: at, newHandler: accepted, knownEmptyAt: l.now}
 	if sa, err := unix.Getsockname(fd); err == nil {
 		ln.addr = addrPort(sa)
 	}
-	ln.timer.Fire = ln.retry
-	l.enter(fd, unix.EPOLLIN, entry{l: ln})
+	ln.timer.Fire = ln.onBackoffEnd
+	l.register(fd, unix.EPOLLIN, registration{listener: ln})
 	l.listeners = append(l.listeners, ln)
 	return ln, nil
 }
@@ -63,7 +63,7 @@
 func (ln *Listener) Drain() {
 	if ln.fd >= 0 && !ln.draining {
 		ln.draining = true
-		ln.accept()
+		ln.acceptWaiting()
 	}
 }
 
@@ -73,74 +73,74 @@
 // Close ends accepting; accepted connections live on.
 func (ln *Listener) Close() {
 	if ln.fd >= 0 {
-		ln.l.Cancel(&ln.timer)
-		ln.l.leave(ln.fd)
+		ln.loop.Cancel(&ln.timer)
+		ln.loop.unregister(ln.fd)
 		ln.fd = -1
 	}
 }
 
 func (ln *Listener) pause() {
-	ln.behind = true
+	ln.mayHaveWaiting = true
 	if !ln.paused {
 		ln.paused = true
-		ln.l.change(ln.fd, 0)
+		ln.loop.setEvents(ln.fd, 0)
 	}
 }
 
 func (ln *Listener) resume() {
 	if ln.paused && ln.fd >= 0 {
 		ln.paused = false
-		ln.l.change(ln.fd, unix.EPOLLIN)
+		ln.loop.setEvents(ln.fd, unix.EPOLLIN)
 	}
 }
 
-// retry goes on after a rest.
-func (ln *Listener) retry() {
+// onBackoffEnd goes on after a rest.
+func (ln *Listener) onBackoffEnd() {
 	ln.resume()
 	if ln.draining { // an empty backlog would never call
-		ln.accept()
+		ln.acceptWaiting()
 	}
 }
 
 // pauseFor lets accepting rest.
 func (ln *Listener) pauseFor(span float64) {
 	ln.pause()
-	ln.l.Start(&ln.timer, span)
+	ln.loop.Start(&ln.timer, span)
 }
 
-// accept takes what waits, up to a bound for each turn.
-func (ln *Listener) accept() {
-	if !ln.behind {
-		ln.emptyAt = math.Max(ln.emptyAt, ln.l.heardTo)
+// acceptWaiting takes what waits, up to a bound for each turn.
+func (ln *Listener) acceptWaiting() {
+	if !ln.mayHaveWaiting {
+		ln.knownEmptyAt = math.Max(ln.knownEmptyAt, ln.loop.previousPolledUntil)
 	}
-	before := ln.l.Stats.Accepted.Load()
-	for i := range acceptTurn {
+	before := ln.loop.Stats.Accepted.Load()
+	for i := range maxAcceptsPerTurn {
 		if ln.fd < 0 || !ln.acceptOne(i == 0) {
 			return
 		}
 	}
-	if ln.behind = true; ln.l.Stats.Accepted.Load() == before { // nothing but failures: no busy loop
-		ln.restMore()
+	if ln.mayHaveWaiting = true; ln.loop.Stats.Accepted.Load() == before { // nothing but failures: no busy loop
+		ln.backOff()
 		return
 	}
 	if ln.draining {
-		ln.l.Defer(ln.accept)
+		ln.loop.Defer(ln.acceptWaiting)
 	}
 }
 
 // acceptOne takes one connection, and tells whether to go on. Where one is sure to wait, room is made for it.
 func (ln *Listener) acceptOne(sure bool) bool {
-	l := ln.l
-	if l.maxConns > 0 && l.conns >= l.maxConns {
+	l := ln.loop
+	if l.maxConns > 0 && l.connCount >= l.maxConns {
 		ln.pause() // gone resumes
 		if ln.draining {
-			l.Start(&ln.timer, acceptRest)
+			l.Start(&ln.timer, minAcceptBackoff)
 		}
 		return false
 	}
 	if ln.Room != nil && !ln.Room(sure || ln.draining) {
-		if ln.behind = true; sure || ln.draining {
-			ln.pauseFor(roomRest)
+		if ln.mayHaveWaiting = true; sure || ln.draining {
+			ln.pauseFor(capacityBackoff)
 		}
 		return false
 	}
@@ -148,7 +148,7 @@
 	switch err {
 	case nil:
 	case unix.EAGAIN:
-		ln.behind, ln.emptyAt = false, l.now
+		ln.mayHaveWaiting, ln.knownEmptyAt = false, l.now
 		if ln.draining {
 			ln.Close()
 		}
@@ -158,40 +158,40 @@
 		if l.releaseReserve() || l.OnDescriptorShortage != nil && l.OnDescriptorShortage() {
 			return true
 		}
-		ln.restMore()
+		ln.backOff()
 		return false
 	case unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
 		l.Stats.DescriptorShortages.Add(1)
-		ln.restMore()
+		ln.backOff()
 		return false
 	default: // the connection failed before it was accepted, ECONNABORTED and the like, or EINTR
 		return true
 	}
-	ln.rest = 0
+	ln.backoff = 0
 	l.Stats.Accepted.Add(1)
-	ln.begin(fd, addrPort(sa))
+	ln.openConn(fd, addrPort(sa))
 	return true
 }
 
-// restMore rests for longer each time, as what fails is the machine's.
-func (ln *Listener) restMore() {
-	ln.rest = math.Min(math.Max(2*ln.rest, acceptRest), acceptMost)
-	ln.pauseFor(ln.rest)
+// backOff rests for longer each time, as what fails is the machine's.
+func (ln *Listener) backOff() {
+	ln.backoff = math.Min(math.Max(2*ln.backoff, minAcceptBackoff), maxAcceptBackoff)
+	ln.pauseFor(ln.backoff)
 }
 
-// begin takes an accepted connection in.
-func (ln *Listener) begin(fd int, peer netip.AddrPort) {
-	l := ln.l
+// openConn takes an accepted connection in.
+func (ln *Listener) openConn(fd int, peer netip.AddrPort) {
+	l := ln.loop
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{l: l, fd: fd, peer: peer, up: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP}
-	c.fallBehind(ln.emptyAt)
-	if c.h = ln.accepted(c); c.h == nil {
+	c := &Conn{loop: l, fd: fd, peer: peer, established: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP}
+	c.markUnread(ln.knownEmptyAt)
+	if c.handler = ln.newHandler(c); c.handler == nil {
 		unix.Close(fd)
 		return
 	}
-	l.conns++
+	l.connCount++
 	l.Stats.Connections.Add(1)
-	l.enter(fd, c.interest, entry{c: c})
+	l.register(fd, c.interest, registration{conn: c})
 }
 
 func sockaddr(a netip.AddrPort) (int, unix.Sockaddr) {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -23,26 +23,26 @@
 )
 
 const (
-	readSize     = 64 << 10 // bytes read from one connection in a turn
-	eventsTurn   = 512      // ready descriptors heard in a turn
-	timersTurn   = 4096     // timers fired in a turn; the rest wait for the next
-	acceptTurn   = 64       // connections accepted from one listener in a turn
-	postedTurn   = 1024     // posted functions run in a turn
-	settleTurns  = 8        // rounds of OnTurn in one turn while each brings new events
-	acceptRest   = 0.005    // s without accepting after the kernel had no means for it; doubles
-	acceptMost   = 0.05     // s, the most of it: clients wait meanwhile
-	roomRest     = 0.01     // s without accepting while there is no room for another connection
-	localRest    = 0.01     // s after a system call failed for want of the machine's means until it is tried again
-	heartbeat    = 0.04     // s that a wait lasts at most, so that a standstill shows
-	arrivalSlack = 0.1      // s between two looks that count as none: deadlines may be so much too long, and a little more
-	lookSpan     = 0.05     // s since the latest look after which there is another one before anything goes out
-	looksTurn    = 2        // of those in a turn
-	looksMore    = 8        // looks in a row while each tells of as many events as fit
-	readsMore    = 16       // reads of one connection in a turn that has to catch up, or whose peer has closed
-	keepBuffer   = 64 << 10 // bytes: larger buffers go back to the collector
-	lingerSpan   = 1.0      // s an ended connection may take to close its side, so that the last answer is not reset
-	bufferPool   = 256      // buffers kept for reuse
-	backlogSize  = 4096     // connections the kernel may hold for a listener
+	readBufferBytes      = 64 << 10 // bytes read from one connection in a turn
+	maxEventsPerPoll     = 512      // ready descriptors heard in a turn
+	maxTimersPerTurn     = 4096     // timers fired in a turn; the rest wait for the next
+	maxAcceptsPerTurn    = 64       // connections accepted from one listener in a turn
+	maxPostedPerTurn     = 1024     // posted functions run in a turn
+	maxRoundsPerTurn     = 8        // rounds of OnTurn in one turn while each brings new events
+	minAcceptBackoff     = 0.005    // s without accepting after the kernel had no means for it; doubles
+	maxAcceptBackoff     = 0.05     // s, the most of it: clients wait meanwhile
+	capacityBackoff      = 0.01     // s without accepting while there is no room for another connection
+	localFailureBackoff  = 0.01     // s after a system call failed for want of the machine's means until it is tried again
+	maxPollWait          = 0.04     // s that a wait lasts at most, so that a standstill shows
+	arrivalSlack         = 0.1      // s between two looks that count as none: deadlines may be so much too long, and a little more
+	maxPollAge           = 0.05     // s since the latest look after which there is another one before anything goes out
+	maxExtraPollsPerTurn = 2        // of those in a turn
+	maxFollowUpPolls     = 8        // looks in a row while each tells of as many events as fit
+	maxCatchUpReads      = 16       // reads of one connection in a turn that has to catch up, or whose peer has closed
+	maxRecycledBuffer    = 64 << 10 // bytes: larger buffers go back to the collector
+	lingerTimeout        = 1.0      // s an ended connection may take to close its side, so that the last answer is not reset
+	maxFreeBuffers       = 256      // buffers kept for reuse
+	listenBacklog        = 4096     // connections the kernel may hold for a listener
 )
 
 // ErrConnectTimeout ends a dialled connection that did not come up in time; nothing was written to it.
@@ -81,42 +81,42 @@
 	OnStall func(span float64)
 	Stats   Stats
 
-	kernel    syscalls.Kernel
-	ep, wake  int
-	start     time.Time
-	wallStart float64 // s since 1970 by the wall clock at second 0
-	now       float64
-	timers    timers
-	fds       []entry
-	gen       int32
-	scratch   []byte
-	free      [][]byte
-	dirty     []*Conn
-	flushing  []*Conn
-	refeed    []*Conn
-	refeeding []*Conn
-	later     []func() // called on this loop in this turn, after what is at hand
-	laterRun  []func()
-	mu        sync.Mutex
-	posted    []func()
-	postedRun []func()
-	waked     atomic.Bool
-	stopped   bool
-	reserve   int // a descriptor kept back to accept and refuse when there are none left
-	conns     int
-	lingering int // of them, those that CloseFlushed ends
-	maxConns  int
-	listeners []*Listener
-
-	events     [eventsTurn]unix.EpollEvent
-	lookedAt   float64 // what is not heard by then had not come in at this time
-	heardTo    float64 // the same of the look before
-	looks      int64
-	catchingUp bool // the loop stood still before its latest look
-	unarmed    []unarmed
-	armTimer   Timer
-	resting    []*Conn
-	restTimer  Timer
+	kernel            syscalls.Kernel
+	epollFD, wakeFD   int
+	start             time.Time
+	wallStart         float64 // s since 1970 by the wall clock at second 0
+	now               float64
+	timers            timerHeap
+	descriptors       []registration
+	generation        int32
+	readBuffer        []byte
+	freeBuffers       [][]byte
+	pendingWrites     []*Conn
+	runningWrites     []*Conn
+	pendingRedelivery []*Conn
+	runningRedelivery []*Conn
+	deferred          []func() // called on this loop in this turn, after what is at hand
+	runningDeferred   []func()
+	mu                sync.Mutex
+	posted            []func()
+	runningPosted     []func()
+	wakePending       atomic.Bool
+	stopped           bool
+	reserveFD         int // a descriptor kept back to accept and refuse when there are none left
+	connCount         int
+	lingeringCount    int // of them, those that CloseFlushed ends
+	maxConns          int
+	listeners         []*Listener
+
+	events               [maxEventsPerPoll]unix.EpollEvent
+	polledUntil          float64 // what is not heard by then had not come in at this time
+	previousPolledUntil  float64 // the same of the look before
+	pollCount            int64
+	catchingUp           bool // the loop stood still before its latest look
+	refusedRegistrations []registrationRef
+	registrationTimer    Timer
+	backingOff           []*Conn
+	backoffTimer         Timer
 }
 
 // New makes a loop that holds at most maxConns connections, dialled ones included; 0 means no limit but the
@@ -132,13 +132,13 @@
 		unix.Close(ep)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{kernel: kernel, ep: ep, wake: wake, start: time.Now(), wallStart: wallSeconds(kernel), scratch: make([]byte, readSize), reserve: -1, maxConns: maxConns}
+	l := &Loop{kernel: kernel, epollFD: ep, wakeFD: wake, start: time.Now(), wallStart: wallSeconds(kernel), readBuffer: make([]byte, readBufferBytes), reserveFD: -1, maxConns: maxConns}
 	if err := kernel.EpollControl(ep, unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN, -1); err != nil {
 		unix.Close(ep)
 		unix.Close(wake)
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	l.armTimer.Fire, l.restTimer.Fire = l.armAgain, l.goOn
+	l.registrationTimer.Fire, l.backoffTimer.Fire = l.retryRegistrations, l.resumeBackedOff
 	l.restoreReserve()
 	return l, nil
 }
@@ -164,17 +164,17 @@
 func (l *Loop) Cancel(t *Timer) { l.timers.stop(t) }
 
 // Defer calls f on this loop after what is at hand, within this turn.
-func (l *Loop) Defer(f func()) { l.later = append(l.later, f) }
+func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
 // Post calls f on the loop, soon. Safe from any goroutine; it never blocks. After the loop has ended f is not called.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	if l.waked.CompareAndSwap(false, true) {
+	if l.wakePending.CompareAndSwap(false, true) {
 		var one = [8]byte{1}
 		for {
-			if _, err := l.kernel.Write(l.wake, one[:]); err != unix.EINTR {
+			if _, err := l.kernel.Write(l.wakeFD, one[:]); err != unix.EINTR {
 				break // the heartbeat hears of it in any case
 			}
 		}
@@ -183,7 +183,7 @@
 
 // Lingering is how many connections are being ended by CloseFlushed: their handlers have forgotten them, and each still
 // holds a descriptor.
-func (l *Loop) Lingering() int { return l.lingering }
+func (l *Loop) Lingering() int { return l.lingeringCount }
 
 // Close gives back the descriptors of a loop that never ran.
 func (l *Loop) Close() { l.close() }
@@ -197,11 +197,11 @@
 	defer runtime.UnlockOSThread()
 	defer l.close()
 	for !l.stopped {
-		if err := l.look(l.timeout()); err != nil {
+		if err := l.pollEvents(l.pollTimeout()); err != nil {
 			return fmt.Errorf("epoll: %w", err)
 		}
 		began := l.now
-		l.turn()
+		l.runTurn()
 		if took := int64((l.Clock() - began) * 1e9); took > l.Stats.TurnNs.Load() {
 			l.Stats.TurnNs.Store(took)
 		}
@@ -210,46 +210,46 @@
 	return nil
 }
 
-// timeout is how long the wait may take, in ms.
-func (l *Loop) timeout() int {
-	if len(l.later) > 0 || len(l.dirty) > 0 || len(l.refeed) > 0 {
+// pollTimeout is how long the wait may take, in ms.
+func (l *Loop) pollTimeout() int {
+	if len(l.deferred) > 0 || len(l.pendingWrites) > 0 || len(l.pendingRedelivery) > 0 {
 		return 0
 	}
-	wait := heartbeat
-	if len(l.timers.heap) > 0 {
-		wait = math.Min(wait, math.Max(0, l.timers.heap[0].at-l.Clock()))
+	wait := maxPollWait
+	if len(l.timers.items) > 0 {
+		wait = math.Min(wait, math.Max(0, l.timers.items[0].at-l.Clock()))
 	}
 	return int(math.Ceil(wait * 1e3))
 }
 
-// turn goes on from what was heard. Nothing goes out before all is heard that came in while the process stood still.
-func (l *Loop) turn() {
+// runTurn goes on from what was heard. Nothing goes out before all is heard that came in while the process stood still.
+func (l *Loop) runTurn() {
 	l.runPosted()
 	l.runTimers()
 	looks := 0
-	for range settleTurns {
-		l.runLater()
-		l.runRefeed()
+	for range maxRoundsPerTurn {
+		l.runDeferred()
+		l.runRedelivery()
 		if l.AfterEvents != nil {
 			l.AfterEvents()
 		}
-		if len(l.dirty) > 0 && looks < looksTurn && l.stale() {
+		if len(l.pendingWrites) > 0 && looks < maxExtraPollsPerTurn && l.pollIsStale() {
 			looks++
-			if l.look(0) == nil {
+			if l.pollEvents(0) == nil {
 				l.runTimers()
 				continue
 			}
 		}
-		l.flush()
-		if len(l.later) == 0 && len(l.refeed) == 0 {
+		l.flushWrites()
+		if len(l.deferred) == 0 && len(l.pendingRedelivery) == 0 {
 			break
 		}
 	}
 }
 
 func (l *Loop) runTimers() {
-	for range timersTurn {
-		t := l.timers.due(l.now)
+	for range maxTimersPerTurn {
+		t := l.timers.popDue(l.now)
 		if t == nil {
 			break
 		}
@@ -260,42 +260,42 @@
 
 func (l *Loop) runPosted() {
 	l.mu.Lock()
-	l.posted, l.postedRun = l.postedRun[:0], l.posted
+	l.posted, l.runningPosted = l.runningPosted[:0], l.posted
 	l.mu.Unlock()
-	for i, f := range l.postedRun {
-		if i >= postedTurn {
-			l.later = append(l.later, f)
+	for i, f := range l.runningPosted {
+		if i >= maxPostedPerTurn {
+			l.deferred = append(l.deferred, f)
 		} else {
 			f()
 		}
-		l.postedRun[i] = nil
+		l.runningPosted[i] = nil
 	}
 }
 
-func (l *Loop) runLater() {
-	l.later, l.laterRun = l.laterRun[:0], l.later
-	for i, f := range l.laterRun {
+func (l *Loop) runDeferred() {
+	l.deferred, l.runningDeferred = l.runningDeferred[:0], l.deferred
+	for i, f := range l.runningDeferred {
 		f()
-		l.laterRun[i] = nil
+		l.runningDeferred[i] = nil
 	}
 }
 
-func (l *Loop) runRefeed() {
-	l.refeed, l.refeeding = l.refeeding[:0], l.refeed
-	for i, c := range l.refeeding {
-		l.refeeding[i] = nil
-		c.again = false
-		if c.fd >= 0 && !c.paused && !c.linger && len(c.in) > 0 {
-			c.feed(nil)
+func (l *Loop) runRedelivery() {
+	l.pendingRedelivery, l.runningRedelivery = l.runningRedelivery[:0], l.pendingRedelivery
+	for i, c := range l.runningRedelivery {
+		l.runningRedelivery[i] = nil
+		c.redeliveryPending = false
+		if c.fd >= 0 && !c.paused && !c.lingering && len(c.in) > 0 {
+			c.deliver(nil)
 		}
 	}
 }
 
-func (l *Loop) flush() {
-	l.dirty, l.flushing = l.flushing[:0], l.dirty // what is written meanwhile waits for the next round
-	for i, c := range l.flushing {
-		l.flushing[i] = nil
-		c.dirty = false
+func (l *Loop) flushWrites() {
+	l.pendingWrites, l.runningWrites = l.runningWrites[:0], l.pendingWrites // what is written meanwhile waits for the next round
+	for i, c := range l.runningWrites {
+		l.runningWrites[i] = nil
+		c.writePending = false
 		if c.fd >= 0 {
 			c.flush()
 		}
@@ -303,31 +303,31 @@
 }
 
 func (l *Loop) close() {
-	for fd, e := range l.fds {
-		if e.c != nil || e.l != nil {
+	for fd, e := range l.descriptors {
+		if e.conn != nil || e.listener != nil {
 			unix.Close(fd)
 		}
 	}
-	for _, fd := range []int{l.ep, l.wake, l.reserve} {
+	for _, fd := range []int{l.epollFD, l.wakeFD, l.reserveFD} {
 		if fd >= 0 {
 			unix.Close(fd)
 		}
 	}
-	l.fds = nil
+	l.descriptors = nil
 }
 
-// buffer returns an empty buffer to grow; give takes it back.
-func (l *Loop) buffer() []byte {
-	if n := len(l.free); n > 0 {
-		b := l.free[n-1]
-		l.free = l.free[:n-1]
+// takeBuffer returns an empty buffer to grow; give takes it back.
+func (l *Loop) takeBuffer() []byte {
+	if n := len(l.freeBuffers); n > 0 {
+		b := l.freeBuffers[n-1]
+		l.freeBuffers = l.freeBuffers[:n-1]
 		return b
 	}
 	return make([]byte, 0, 4<<10)
 }
 
-func (l *Loop) give(b []byte) {
-	if cap(b) > 0 && cap(b) <= keepBuffer && len(l.free) < bufferPool {
-		l.free = append(l.free, b[:0])
+func (l *Loop) recycleBuffer(b []byte) {
+	if cap(b) > 0 && cap(b) <= maxRecycledBuffer && len(l.freeBuffers) < maxFreeBuffers {
+		l.freeBuffers = append(l.freeBuffers, b[:0])
 	}
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -108,7 +108,7 @@
 func TestTimersAgainstSorting(t *testing.T) {
 	for seed := range uint64(50) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
-		var h timers
+		var h timerHeap
 		all := make([]Timer, 40)
 		want := map[*Timer]float64{}
 		for range 300 {
@@ -128,13 +128,13 @@
 		}
 		sort.Float64s(times)
 		for i, at := range times {
-			x := h.due(1e9)
+			x := h.popDue(1e9)
 			if x == nil || x.at != at || want[x] != at || x.Pending() {
 				t.Fatalf("seed %d: timer %d is %v, want one at %g", seed, i, x, at)
 			}
 			delete(want, x)
 		}
-		if h.due(1e9) != nil {
+		if h.popDue(1e9) != nil {
 			t.Fatalf("seed %d: one too many", seed)
 		}
 	}
@@ -172,10 +172,10 @@
 	ln := listen(t, l, do, func(*Conn) Handler {
 		last := int64(-1)
 		return &plain{data: func(c *Conn, b []byte) int {
-			if l.looks == last && !l.catchingUp {
+			if l.pollCount == last && !l.catchingUp {
 				twice.Add(1)
 			}
-			last = l.looks
+			last = l.pollCount
 			reads.Add(1)
 			if len(b) == 1 {
 				c.Write(b)
@@ -420,7 +420,7 @@
 }
 
 func BenchmarkTimer(b *testing.B) {
-	var h timers
+	var h timerHeap
 	all := make([]Timer, 10_000)
 	for i := range all {
 		h.start(&all[i], float64(i))
@@ -435,8 +435,8 @@
 func TestRetract(t *testing.T) {
 	l, _ := New(0)
 	defer l.close()
-	c := &Conn{l: l, fd: 1 << 20, up: true, dirty: true, total: 5}
-	c.out, c.sent = []byte("xxAABBCC"), 2
+	c := &Conn{loop: l, fd: 1 << 20, established: true, writePending: true, sentBytes: 5}
+	c.out, c.outSent = []byte("xxAABBCC"), 2
 	for _, r := range []struct {
 		from, to uint64
 		ok       bool
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -3,85 +3,85 @@
 // Timer fires once at a time of the loop's clock. It is meant to be a field of the record it serves: starting,
 // moving and stopping it allocates nothing. The zero Timer with Fire set is ready to use.
 type Timer struct {
-	Fire func() // called on the loop
-	at   float64
-	seq  uint64
-	i    int // place in the heap, counted from 1; 0 when stopped
+	Fire     func() // called on the loop
+	at       float64
+	seq      uint64
+	position int // place in the heap, counted from 1; 0 when stopped
 }
 
 // Pending tells whether the timer is started and has not fired.
-func (t *Timer) Pending() bool { return t.i > 0 }
+func (t *Timer) Pending() bool { return t.position > 0 }
 
-// timers is a binary heap by time, then by order of starting.
-type timers struct {
-	heap []*Timer
-	seq  uint64
+// timerHeap is a binary heap by time, then by order of starting.
+type timerHeap struct {
+	items []*Timer
+	seq   uint64
 }
 
-func (h *timers) before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (h *timerHeap) before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (h *timers) put(i int, t *Timer) { h.heap[i], t.i = t, i+1 }
+func (h *timerHeap) place(i int, t *Timer) { h.items[i], t.position = t, i+1 }
 
-func (h *timers) up(i int) {
-	t := h.heap[i]
-	for i > 0 && h.before(t, h.heap[(i-1)/2]) {
-		h.put(i, h.heap[(i-1)/2])
+func (h *timerHeap) siftUp(i int) {
+	t := h.items[i]
+	for i > 0 && h.before(t, h.items[(i-1)/2]) {
+		h.place(i, h.items[(i-1)/2])
 		i = (i - 1) / 2
 	}
-	h.put(i, t)
+	h.place(i, t)
 }
 
-func (h *timers) down(i int) {
-	t := h.heap[i]
+func (h *timerHeap) siftDown(i int) {
+	t := h.items[i]
 	for {
 		c := 2*i + 1
-		if c >= len(h.heap) {
+		if c >= len(h.items) {
 			break
 		}
-		if c+1 < len(h.heap) && h.before(h.heap[c+1], h.heap[c]) {
+		if c+1 < len(h.items) && h.before(h.items[c+1], h.items[c]) {
 			c++
 		}
-		if !h.before(h.heap[c], t) {
+		if !h.before(h.items[c], t) {
 			break
 		}
-		h.put(i, h.heap[c])
+		h.place(i, h.items[c])
 		i = c
 	}
-	h.put(i, t)
+	h.place(i, t)
 }
 
 // start sets the timer, or moves it when it is pending.
-func (h *timers) start(t *Timer, at float64) {
+func (h *timerHeap) start(t *Timer, at float64) {
 	h.stop(t)
 	h.seq++
 	t.at, t.seq = at, h.seq
-	h.heap = append(h.heap, t)
-	h.up(len(h.heap) - 1)
+	h.items = append(h.items, t)
+	h.siftUp(len(h.items) - 1)
 }
 
-func (h *timers) stop(t *Timer) {
-	if t.i == 0 {
+func (h *timerHeap) stop(t *Timer) {
+	if t.position == 0 {
 		return
 	}
-	i, last := t.i-1, len(h.heap)-1
-	t.i = 0
-	moved := h.heap[last]
-	h.heap[last] = nil
-	h.heap = h.heap[:last]
+	i, last := t.position-1, len(h.items)-1
+	t.position = 0
+	moved := h.items[last]
+	h.items[last] = nil
+	h.items = h.items[:last]
 	if i == last {
 		return
 	}
-	h.put(i, moved)
-	h.up(i)
-	h.down(moved.i - 1)
+	h.place(i, moved)
+	h.siftUp(i)
+	h.siftDown(moved.position - 1)
 }
 
-// due takes the first timer off if its time has come.
-func (h *timers) due(now float64) *Timer {
-	if len(h.heap) == 0 || h.heap[0].at > now {
+// popDue takes the first timer off if its time has come.
+func (h *timerHeap) popDue(now float64) *Timer {
+	if len(h.items) == 0 || h.items[0].at > now {
 		return nil
 	}
-	t := h.heap[0]
+	t := h.items[0]
 	h.stop(t)
 	return t
 }
