--- /dev/null
+++ b/internal/eventloop/buffers.go
@@ -0,0 +1,20 @@
+//go:build linux
+
+package eventloop
+
+// takeBuffer returns an empty buffer that the caller may grow and gives back by recycleBuffer.
+func (l *Loop) takeBuffer() []byte {
+	if n := len(l.freeBuffers); n > 0 {
+		b := l.freeBuffers[n-1]
+		l.freeBuffers = l.freeBuffers[:n-1]
+		return b
+	}
+	return make([]byte, 0, initialBufferBytes)
+}
+
+// recycleBuffer keeps a buffer for reuse, unless it is nil or too large or enough are kept already.
+func (l *Loop) recycleBuffer(b []byte) {
+	if cap(b) > 0 && cap(b) <= maxRecycledBuffer && len(l.freeBuffers) < maxFreeBuffers {
+		l.freeBuffers = append(l.freeBuffers, b[:0])
+	}
+}
--- /dev/null
+++ b/internal/eventloop/conn_write.go
@@ -0,0 +1,129 @@
+//go:build linux
+
+package eventloop
+
+import (
+	"os"
+
+	"golang.org/x/sys/unix"
+)
+
+// WriteInterceptor is implemented by a Handler that checks bytes once more before they are written to the kernel.
+type WriteInterceptor interface {
+	// BeforeWrite is called before each write. It may remove bytes by Unwrite, write others, or close the connection.
+	BeforeWrite(c *Conn)
+}
+
+// SentBytes returns the number of bytes that the kernel has accepted since the connection was created.
+func (c *Conn) SentBytes() uint64 { return c.sentBytes }
+
+// WrittenBytes returns the number of bytes written to the connection since it was created: those sent and those queued.
+func (c *Conn) WrittenBytes() uint64 { return c.sentBytes + uint64(c.UnsentBytes()) }
+
+// UnsentBytes returns the number of queued bytes that the kernel has not accepted.
+func (c *Conn) UnsentBytes() int { return len(c.outgoing) - c.outgoingSent }
+
+// Write queues bytes, which are sent at the end of the turn. b is copied. Write has no effect on a connection that has
+// ended or is being closed.
+func (c *Conn) Write(b []byte) {
+	if c.fd < 0 && !c.dialing || c.lingering {
+		return
+	}
+	if c.outgoing == nil {
+		c.outgoing = c.loop.takeBuffer()
+	}
+	c.outgoing = append(c.outgoing, b...)
+	c.scheduleWrite()
+}
+
+// Unwrite removes queued bytes, given by their positions as counted by WrittenBytes; bytes queued after them move up. It
+// returns false, and removes nothing, if some of them have been accepted by the kernel.
+func (c *Conn) Unwrite(from, to uint64) bool {
+	if c.fd < 0 || c.lingering || from < c.sentBytes || to > c.WrittenBytes() || from > to {
+		return false
+	}
+	start := c.outgoingSent + int(from-c.sentBytes)
+	end := c.outgoingSent + int(to-c.sentBytes)
+	c.outgoing = append(c.outgoing[:start], c.outgoing[end:]...)
+	return true
+}
+
+// Flush writes queued bytes now, as far as the kernel accepts them.
+func (c *Conn) Flush() {
+	if c.fd >= 0 && c.established {
+		c.flush()
+	}
+}
+
+// NotifyFlushed requests a call of Flushed after the bytes written so far, even if the kernel accepts them at once.
+func (c *Conn) NotifyFlushed() { c.notifyFlushed = true }
+
+func (c *Conn) scheduleWrite() {
+	if !c.writePending && c.established {
+		c.writePending = true
+		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
+	}
+}
+
+func (c *Conn) flush() {
+	interceptor, ok := c.handler.(WriteInterceptor)
+	if ok && !c.lingering {
+		interceptor.BeforeWrite(c)
+		if c.fd < 0 {
+			return
+		}
+	}
+	if c.writeQueued() {
+		c.finishFlush()
+	}
+}
+
+// writeQueued writes queued bytes until the kernel accepts no more, and reports whether it has accepted all.
+func (c *Conn) writeQueued() bool {
+	for c.outgoingSent < len(c.outgoing) {
+		n, err := c.loop.kernel.Write(c.fd, c.outgoing[c.outgoingSent:])
+		switch err {
+		case nil:
+			c.outgoingSent += n
+			c.sentBytes += uint64(n)
+		case unix.EINTR:
+		case unix.EAGAIN:
+			c.writeBlocked = true
+			c.setInterest(c.interest | unix.EPOLLOUT)
+			return false
+		case unix.ENOBUFS, unix.ENOMEM:
+			c.writeBlocked = true
+			c.backOff()
+			return false
+		default:
+			c.ReadNow() // the peer may have sent a response before it closed the connection
+			c.fail(os.NewSyscallError("write", err))
+			return false
+		}
+	}
+	return true
+}
+
+// finishFlush follows a write of all that was queued.
+func (c *Conn) finishFlush() {
+	c.loop.recycleBuffer(c.outgoing)
+	c.outgoing = nil
+	c.outgoingSent = 0
+	if c.lingering {
+		if c.peerClosedSide {
+			c.Close()
+			return
+		}
+		unix.Shutdown(c.fd, unix.SHUT_WR)
+		c.loop.Start(&c.timer, lingerTimeout)
+	}
+	notify := c.writeBlocked || c.notifyFlushed
+	c.notifyFlushed = false
+	if c.writeBlocked {
+		c.writeBlocked = false
+		c.setInterest(c.interest &^ unix.EPOLLOUT)
+	}
+	if notify && !c.lingering {
+		c.handler.Flushed(c)
+	}
+}
--- /dev/null
+++ b/internal/eventloop/errors.go
@@ -0,0 +1,37 @@
+//go:build linux
+
+package eventloop
+
+import (
+	"errors"
+
+	"golang.org/x/sys/unix"
+)
+
+// ErrConnectTimeout ends a dialled connection that was not established in time. Nothing was written to it.
+var ErrConnectTimeout = errors.New("connect timed out")
+
+// LocalError ends a dialled connection that could not be attempted for lack of local resources, such as descriptors or
+// ports. It says nothing about the peer, and nothing was written.
+type LocalError struct{ Err error }
+
+// Error implements error.
+func (e *LocalError) Error() string { return "no means to connect: " + e.Err.Error() }
+
+// Unwrap returns the error of the system call.
+func (e *LocalError) Unwrap() error { return e.Err }
+
+// isLocalError reports whether an error of socket or connect is about this machine and not about the peer.
+func isLocalError(err error) bool {
+	switch err {
+	case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE, unix.EAGAIN:
+		return true
+	}
+	return false
+}
+
+// isRetryable reports whether a failed connect is worth another attempt: local errors, and a network that is down, which
+// may be so for all peers.
+func isRetryable(err error) bool {
+	return isLocalError(err) || err == unix.ENETUNREACH || err == unix.ENETDOWN
+}
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -10,44 +10,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts connections. No connection that the kernel holds is ever closed unheard: while none can be taken,
-// they wait in the backlog.
+// Listener accepts connections. It never closes a connection that waits in the kernel's queue: while none can be
+// accepted they stay there, and Drain accepts them all before it closes the socket.
 type Listener struct {
-	// Room, where set, is asked before each connection is accepted; where it says no, connections wait in the backlog.
-	// With one known to wait it is asked to make room.
+	// Room is called before each connection is accepted and reports whether there is capacity for one more; if not,
+	// connections stay in the kernel's queue. makeIt asks it to make room, as a connection is known to be waiting. It may
+	// be nil.
 	Room func(makeIt bool) bool
 
 	loop           *Loop
-	fd             int
+	fd             int // -1 after Close
 	addr           netip.AddrPort
 	newHandler     func(c *Conn) Handler
-	backoff        float64
-	timer          Timer
+	backoff        float64 // latest pause after failures, s; 0 after a success
+	timer          Timer   // ends a pause
 	paused         bool
 	draining       bool
-	mayHaveWaiting bool    // connections may wait from before the last look
-	knownEmptyAt   float64 // the backlog was empty then, or later
+	mayHaveWaiting bool    // connections in the queue may be older than the latest polls
+	knownEmptyAt   float64 // the queue was empty at this time or later
 }
 
-// Listen opens a TCP listener; accepted returns the handler of a new connection. Port 0 takes a free one, which
-// Addr tells.
-func (l *Loop) Listen(at netip.AddrPort, accepted func(c *Conn) Handler) (*Listener, error) {
-	domain, sa := sockaddr(at)
+// Listen opens a TCP listener. newHandler returns the handler of an accepted connection, or nil to close it. Port 0
+// selects a free port, which Addr returns.
+func (l *Loop) Listen(at netip.AddrPort, newHandler func(c *Conn) Handler) (*Listener, error) {
+	domain, address := sockaddr(at)
 	fd, err := l.kernel.Socket(domain, unix.SOCK_STREAM, 0)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = l.kernel.Bind(fd, sa); err == nil {
+	err = l.kernel.Bind(fd, address)
+	if err == nil {
 		err = l.kernel.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
-	ln := &Listener{loop: l, fd: fd, addr: at, newHandler: accepted, knownEmptyAt: l.now}
-	if sa, err := unix.Getsockname(fd); err == nil {
-		ln.addr = addrPort(sa)
+	ln := &Listener{loop: l, fd: fd, addr: at, newHandler: newHandler, knownEmptyAt: l.now}
+	bound, err := unix.Getsockname(fd)
+	if err == nil {
+		ln.addr = addrPort(bound)
 	}
 	ln.timer.Fire = ln.onBackoffEnd
 	l.register(fd, unix.EPOLLIN, registration{listener: ln})
@@ -55,11 +58,12 @@
 	return ln, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address listened on.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-// Drain accepts all that wait in the backlog, however long accepting has to rest in between, and then ends accepting:
-// closing at once would reset them, and the requests they carry were taken when the kernel completed the connections.
+// Drain accepts all connections in the kernel's queue, however long accepting has to pause in between, and then closes
+// the listener. Closing it at once would reset them, although from their clients' view they are established and may
+// already carry requests.
 func (ln *Listener) Drain() {
 	if ln.fd >= 0 && !ln.draining {
 		ln.draining = true
@@ -67,10 +71,10 @@
 	}
 }
 
-// Draining tells whether connections may still wait to be accepted before accepting ends.
+// Draining reports whether Drain has been called and connections may still be waiting to be accepted.
 func (ln *Listener) Draining() bool { return ln.draining && ln.fd >= 0 }
 
-// Close ends accepting; accepted connections live on.
+// Close stops accepting at once. Accepted connections are not affected.
 func (ln *Listener) Close() {
 	if ln.fd >= 0 {
 		ln.loop.Cancel(&ln.timer)
@@ -94,32 +98,37 @@
 	}
 }
 
-// onBackoffEnd goes on after a rest.
+func (ln *Listener) pauseFor(seconds float64) {
+	ln.pause()
+	ln.loop.Start(&ln.timer, seconds)
+}
+
+// backOff pauses accepting for twice as long as the last time, within bounds, as local resources are short.
+func (ln *Listener) backOff() {
+	ln.backoff = math.Min(math.Max(2*ln.backoff, minAcceptBackoff), maxAcceptBackoff)
+	ln.pauseFor(ln.backoff)
+}
+
 func (ln *Listener) onBackoffEnd() {
 	ln.resume()
-	if ln.draining { // an empty backlog would never call
+	if ln.draining { // epoll does not report an empty queue, which is what ends draining
 		ln.acceptWaiting()
 	}
 }
 
-// pauseFor lets accepting rest.
-func (ln *Listener) pauseFor(span float64) {
-	ln.pause()
-	ln.loop.Start(&ln.timer, span)
-}
-
-// acceptWaiting takes what waits, up to a bound for each turn.
+// acceptWaiting accepts the connections in the kernel's queue, up to maxAcceptsPerTurn.
 func (ln *Listener) acceptWaiting() {
 	if !ln.mayHaveWaiting {
 		ln.knownEmptyAt = math.Max(ln.knownEmptyAt, ln.loop.previousPolledUntil)
 	}
-	before := ln.loop.Stats.Accepted.Load()
+	acceptedBefore := ln.loop.Stats.Accepted.Load()
 	for i := range maxAcceptsPerTurn {
 		if ln.fd < 0 || !ln.acceptOne(i == 0) {
 			return
 		}
 	}
-	if ln.mayHaveWaiting = true; ln.loop.Stats.Accepted.Load() == before { // nothing but failures: no busy loop
+	ln.mayHaveWaiting = true
+	if ln.loop.Stats.Accepted.Load() == acceptedBefore { // every accept failed: do not spin
 		ln.backOff()
 		return
 	}
@@ -128,27 +137,23 @@
 	}
 }
 
-// acceptOne takes one connection, and tells whether to go on. Where one is sure to wait, room is made for it.
-func (ln *Listener) acceptOne(sure bool) bool {
+// acceptOne accepts one connection and reports whether to continue. known says that epoll has reported a waiting
+// connection and none has been accepted since; the owner is then asked to make room.
+func (ln *Listener) acceptOne(known bool) bool {
 	l := ln.loop
-	if l.maxConns > 0 && l.connCount >= l.maxConns {
-		ln.pause() // gone resumes
-		if ln.draining {
-			l.Start(&ln.timer, minAcceptBackoff)
-		}
+	if !ln.hasCapacity(known) {
 		return false
 	}
-	if ln.Room != nil && !ln.Room(sure || ln.draining) {
-		if ln.mayHaveWaiting = true; sure || ln.draining {
-			ln.pauseFor(capacityBackoff)
-		}
-		return false
-	}
-	fd, sa, err := l.kernel.Accept(ln.fd)
+	fd, address, err := l.kernel.Accept(ln.fd)
 	switch err {
 	case nil:
+		ln.backoff = 0
+		l.Stats.Accepted.Add(1)
+		ln.openConn(fd, addrPort(address))
+		return true
 	case unix.EAGAIN:
-		ln.mayHaveWaiting, ln.knownEmptyAt = false, l.now
+		ln.mayHaveWaiting = false
+		ln.knownEmptyAt = l.now
 		if ln.draining {
 			ln.Close()
 		}
@@ -164,28 +169,41 @@
 		l.Stats.DescriptorShortages.Add(1)
 		ln.backOff()
 		return false
-	default: // the connection failed before it was accepted, ECONNABORTED and the like, or EINTR
+	default: // EINTR, or the connection failed before it was accepted (ECONNABORTED and others)
 		return true
 	}
-	ln.backoff = 0
-	l.Stats.Accepted.Add(1)
-	ln.openConn(fd, addrPort(sa))
-	return true
 }
 
-// backOff rests for longer each time, as what fails is the machine's.
-func (ln *Listener) backOff() {
-	ln.backoff = math.Min(math.Max(2*ln.backoff, minAcceptBackoff), maxAcceptBackoff)
-	ln.pauseFor(ln.backoff)
+// hasCapacity reports whether one more connection may be accepted, and otherwise pauses accepting if one is known to
+// wait.
+func (ln *Listener) hasCapacity(known bool) bool {
+	l := ln.loop
+	if l.maxConns > 0 && l.connCount >= l.maxConns {
+		ln.pause() // until Conn.release resumes it
+		if ln.draining {
+			l.Start(&ln.timer, minAcceptBackoff)
+		}
+		return false
+	}
+	makeRoom := known || ln.draining
+	if ln.Room != nil && !ln.Room(makeRoom) {
+		ln.mayHaveWaiting = true
+		if makeRoom {
+			ln.pauseFor(capacityBackoff)
+		}
+		return false
+	}
+	return true
 }
 
-// openConn takes an accepted connection in.
+// openConn creates the Conn of an accepted connection.
 func (ln *Listener) openConn(fd int, peer netip.AddrPort) {
 	l := ln.loop
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c := &Conn{loop: l, fd: fd, peer: peer, established: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP}
-	c.markUnread(ln.knownEmptyAt)
-	if c.handler = ln.newHandler(c); c.handler == nil {
+	c.markUnread(ln.knownEmptyAt) // its first bytes may have arrived any time since
+	c.handler = ln.newHandler(c)
+	if c.handler == nil {
 		unix.Close(fd)
 		return
 	}
@@ -193,20 +211,3 @@
 	l.Stats.Connections.Add(1)
 	l.register(fd, c.interest, registration{conn: c})
 }
-
-func sockaddr(a netip.AddrPort) (int, unix.Sockaddr) {
-	if a.Addr().Unmap().Is4() {
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().Unmap().As4()}
-	}
-	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
-}
-
-func addrPort(sa unix.Sockaddr) netip.AddrPort {
-	switch sa := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(sa.Addr).Unmap(), uint16(sa.Port))
-	}
-	return netip.AddrPort{}
-}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -434,16 +434,16 @@
 // What is taken back before the kernel has it never leaves, and what was queued behind it moves up.
 func TestRetract(t *testing.T) {
 	l, _ := New(0)
-	defer l.close()
+	defer l.Close()
 	c := &Conn{loop: l, fd: 1 << 20, established: true, writePending: true, sentBytes: 5}
-	c.out, c.outSent = []byte("xxAABBCC"), 2
+	c.outgoing, c.outgoingSent = []byte("xxAABBCC"), 2
 	for _, r := range []struct {
 		from, to uint64
 		ok       bool
 		left     string
 	}{{4, 7, false, "xxAABBCC"}, {7, 20, false, "xxAABBCC"}, {7, 9, true, "xxAACC"}, {7, 9, true, "xxAA"}, {5, 7, true, "xx"}, {5, 7, false, "xx"}} {
-		if ok := c.Unwrite(r.from, r.to); ok != r.ok || string(c.out) != r.left || c.UnsentBytes() != len(r.left)-2 {
-			t.Errorf("%d to %d: %v, left %q", r.from, r.to, ok, c.out)
+		if ok := c.Unwrite(r.from, r.to); ok != r.ok || string(c.outgoing) != r.left || c.UnsentBytes() != len(r.left)-2 {
+			t.Errorf("%d to %d: %v, left %q", r.from, r.to, ok, c.outgoing)
 		}
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -1,32 +1,64 @@
+//go:build linux
+
 package eventloop
 
-// Timer fires once at a time of the loop's clock. It is meant to be a field of the record it serves: starting,
-// moving and stopping it allocates nothing. The zero Timer with Fire set is ready to use.
+import "math"
+
+// Timer fires once, at a time of the loop's clock. It is meant to be embedded as a field of the record it serves:
+// starting, moving and cancelling it allocates nothing. The zero Timer with Fire set is ready to use, and must not be
+// copied while pending.
 type Timer struct {
 	Fire     func() // called on the loop
 	at       float64
-	seq      uint64
-	position int // place in the heap, counted from 1; 0 when stopped
+	sequence uint64 // order of starting
+	position int    // index in the heap plus one; 0 while not pending
 }
 
-// Pending tells whether the timer is started and has not fired.
+// Pending reports whether the timer has been started and has neither fired nor been cancelled.
 func (t *Timer) Pending() bool { return t.position > 0 }
 
-// timerHeap is a binary heap by time, then by order of starting.
+// Start makes the timer fire after the given number of seconds. A pending timer is moved.
+func (l *Loop) Start(t *Timer, after float64) { l.timers.start(t, l.now+math.Max(0, after)) }
+
+// Cancel stops a timer; it has no effect on one that is not pending.
+func (l *Loop) Cancel(t *Timer) { l.timers.stop(t) }
+
+// runTimers fires the timers that are due as of the latest poll.
+func (l *Loop) runTimers() {
+	for range maxTimersPerTurn {
+		t := l.timers.popDue(l.now)
+		if t == nil {
+			break
+		}
+		l.Stats.LateNs.Store(int64((l.now - t.at) * 1e9))
+		t.Fire()
+	}
+}
+
+// timerHeap is a binary heap of timers, ordered by time and then by order of starting.
 type timerHeap struct {
-	items []*Timer
-	seq   uint64
+	items    []*Timer
+	sequence uint64
 }
 
-func (h *timerHeap) before(a, b *Timer) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (h *timerHeap) before(a, b *Timer) bool {
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
+}
 
-func (h *timerHeap) place(i int, t *Timer) { h.items[i], t.position = t, i+1 }
+func (h *timerHeap) place(i int, t *Timer) {
+	h.items[i] = t
+	t.position = i + 1
+}
 
 func (h *timerHeap) siftUp(i int) {
 	t := h.items[i]
-	for i > 0 && h.before(t, h.items[(i-1)/2]) {
-		h.place(i, h.items[(i-1)/2])
-		i = (i - 1) / 2
+	for i > 0 {
+		parent := (i - 1) / 2
+		if !h.before(t, h.items[parent]) {
+			break
+		}
+		h.place(i, h.items[parent])
+		i = parent
 	}
 	h.place(i, t)
 }
@@ -34,36 +66,39 @@
 func (h *timerHeap) siftDown(i int) {
 	t := h.items[i]
 	for {
-		c := 2*i + 1
-		if c >= len(h.items) {
+		child := 2*i + 1
+		if child >= len(h.items) {
 			break
 		}
-		if c+1 < len(h.items) && h.before(h.items[c+1], h.items[c]) {
-			c++
+		if child+1 < len(h.items) && h.before(h.items[child+1], h.items[child]) {
+			child++
 		}
-		if !h.before(h.items[c], t) {
+		if !h.before(h.items[child], t) {
 			break
 		}
-		h.place(i, h.items[c])
-		i = c
+		h.place(i, h.items[child])
+		i = child
 	}
 	h.place(i, t)
 }
 
-// start sets the timer, or moves it when it is pending.
+// start adds the timer, or moves it when it is pending.
 func (h *timerHeap) start(t *Timer, at float64) {
 	h.stop(t)
-	h.seq++
-	t.at, t.seq = at, h.seq
+	h.sequence++
+	t.at = at
+	t.sequence = h.sequence
 	h.items = append(h.items, t)
 	h.siftUp(len(h.items) - 1)
 }
 
+// stop removes the timer if it is pending. Its place is filled by the last timer, which then moves up or down.
 func (h *timerHeap) stop(t *Timer) {
 	if t.position == 0 {
 		return
 	}
-	i, last := t.position-1, len(h.items)-1
+	i := t.position - 1
+	last := len(h.items) - 1
 	t.position = 0
 	moved := h.items[last]
 	h.items[last] = nil
@@ -76,7 +111,7 @@
 	h.siftDown(moved.position - 1)
 }
 
-// popDue takes the first timer off if its time has come.
+// popDue removes and returns the first timer if its time has come; otherwise it returns nil.
 func (h *timerHeap) popDue(now float64) *Timer {
 	if len(h.items) == 0 || h.items[0].at > now {
 		return nil
