--- /dev/null
+++ b/internal/eventloop/listener_test.go
@@ -0,0 +1,156 @@
+//go:build linux
+
+package eventloop
+
+import (
+	"io"
+	"net"
+	"os"
+	"strconv"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
+)
+
+// With no descriptor left, accepting pauses, waiting connections stay open, and all are served once there are descriptors
+// again; the loop does not spin meanwhile.
+func TestDescriptorShortage(t *testing.T) {
+	l, err := New(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln, err := l.Listen(anyPort, newEchoHandler)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var conns []net.Conn
+	for range 12 { // the kernel holds them until they are accepted
+		conns = append(conns, dial(t, ln))
+	}
+	restoreLimit := limitDescriptors(t, 6)
+	done := make(chan error, 1)
+	go func() { done <- l.Run() }()
+	for i := 0; l.Stats.DescriptorShortages.Load() < 2 && i < 1000; i++ {
+		time.Sleep(5 * time.Millisecond)
+	}
+	turns := l.Stats.Turns.Load()
+	time.Sleep(200 * time.Millisecond)
+	if n := l.Stats.Turns.Load() - turns; n > 60 {
+		t.Errorf("%d turns in 0.2 s without a descriptor", n)
+	}
+	restoreLimit()
+	if l.Stats.DescriptorShortages.Load() < 2 {
+		t.Error("descriptors never ran out")
+	}
+	served, refused := 0, 0
+	for _, c := range conns {
+		c.Write([]byte("hello"))
+		b := make([]byte, 5)
+		if _, err := io.ReadFull(c, b); err == nil && string(b) == "hello" {
+			served++
+		} else {
+			refused++
+		}
+	}
+	if refused > 0 || served != 12 {
+		t.Errorf("%d served and %d refused of 12: those that wait are to be served later", served, refused)
+	}
+	l.Stop()
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
+
+// limitDescriptors lowers the limit of descriptors so that the given number are left, and returns a function that
+// restores it.
+func limitDescriptors(t *testing.T, left int) (restore func()) {
+	t.Helper()
+	var old unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
+		t.Skip("no limits here: ", err)
+	}
+	entries, _ := os.ReadDir("/proc/self/fd")
+	used := map[int]bool{}
+	for _, entry := range entries {
+		if n, err := strconv.Atoi(entry.Name()); err == nil {
+			used[n] = true
+		}
+	}
+	limit := 0
+	for ; left > 0; limit++ {
+		if !used[limit] {
+			left--
+		}
+	}
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: old.Max}); err != nil {
+		t.Skip("limits cannot be set: ", err)
+	}
+	return func() {
+		t.Helper()
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestMaxConnections(t *testing.T) {
+	l, onLoop := startLoop(t, 2)
+	ln := listen(t, l, onLoop, newEchoHandler)
+	first, second, third := dial(t, ln), dial(t, ln), dial(t, ln)
+	for _, conn := range []net.Conn{first, second} {
+		conn.Write([]byte{'1'})
+		if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	third.Write([]byte{'3'})
+	onLoop(func() {
+		if l.Stats.Connections.Load() != 2 {
+			t.Errorf("%d connections, 2 allowed", l.Stats.Connections.Load())
+		}
+	})
+	first.Close() // makes room
+	if _, err := io.ReadFull(third, make([]byte, 1)); err != nil {
+		t.Errorf("the third was not accepted when there was room: %v", err)
+	}
+}
+
+// An accept that fails each time, with whatever error, causes no busy loop, and waiting connections are served afterwards.
+func TestFailingAcceptDoesNotSpin(t *testing.T) {
+	for _, errno := range []syscall.Errno{unix.ECONNABORTED, unix.EPERM, unix.EINTR, unix.ENFILE} {
+		var fails atomic.Bool
+		var calls atomic.Int64
+		syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Fail: func(c faults.Call, _ int) error {
+			if c != faults.Accept || !fails.Load() {
+				return nil
+			}
+			calls.Add(1)
+			return errno
+		}}
+		l, onLoop := startLoop(t, 0)
+		syscalls.Default = syscalls.Linux{}
+		ln := listen(t, l, onLoop, newEchoHandler)
+		fails.Store(true)
+		var conns []net.Conn
+		for range 5 {
+			conns = append(conns, dial(t, ln))
+		}
+		time.Sleep(200 * time.Millisecond)
+		if n := calls.Load(); n == 0 || n > 3000 {
+			t.Errorf("%v: %d calls in 0.2 s", errno, n)
+		}
+		fails.Store(false)
+		for _, c := range conns {
+			c.Write([]byte("x"))
+			if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
+				t.Errorf("%v: %v", errno, err)
+			}
+		}
+	}
+}
