--- a/internal/httpcodec/body.go
+++ b/internal/httpcodec/body.go
@@ -3,18 +3,18 @@
 import "bytes"
 
 const (
-	chunkLine  = 256      // bytes of a chunk's size line, extensions included
-	trailerAll = 8 << 10  // bytes of all trailers
-	chunkWaste = 16 << 10 // bytes beside data that many small chunks may add up to
+	maxChunkLine     = 256      // bytes of a chunk's size line, extensions included
+	maxTrailerBytes  = 8 << 10  // bytes of all trailers
+	maxChunkOverhead = 16 << 10 // bytes beside data that many small chunks may add up to
 )
 
 // Body decodes the body that follows a head. Reset starts it anew.
 type Body struct {
-	state  bodyState
-	left   int64 // of the length, or of the chunk
-	limit  int64 // bytes that may still come
-	waste  int64 // bytes beside data, eased by the data that came
-	trails int   // bytes of trailers read
+	state        bodyState
+	remaining    int64 // of the length, or of the chunk
+	limit        int64 // bytes that may still come
+	overhead     int64 // bytes beside data, eased by the data that came
+	trailerBytes int   // bytes of trailers read
 }
 
 type bodyState uint8
@@ -22,8 +22,8 @@
 const (
 	bodyDone bodyState = iota
 	bodyLength
-	bodyToEnd // an answer that ends with its connection
-	bodySize  // at a chunk's size line
+	bodyUntilClose // an answer that ends with its connection
+	bodyChunkSize  // at a chunk's size line
 	bodyChunk
 	bodyChunkEnd // at the CRLF after a chunk
 	bodyTrailer
@@ -33,9 +33,9 @@
 func (d *Body) ResetRequest(h *Head, lim Limits) {
 	*d = Body{limit: lim.Body}
 	if h.Chunked {
-		d.state = bodySize
+		d.state = bodyChunkSize
 	} else if h.Length > 0 {
-		d.state, d.left = bodyLength, h.Length
+		d.state, d.remaining = bodyLength, h.Length
 	}
 }
 
@@ -45,11 +45,11 @@
 	switch {
 	case head || h.Status < 200 || h.Status == 204 || h.Status == 304 || h.Length == 0:
 	case h.Chunked:
-		d.state = bodySize
+		d.state = bodyChunkSize
 	case h.Length > 0:
-		d.state, d.left = bodyLength, h.Length
+		d.state, d.remaining = bodyLength, h.Length
 	default:
-		d.state = bodyToEnd
+		d.state = bodyUntilClose
 	}
 }
 
@@ -57,7 +57,7 @@
 func (d *Body) Done() bool { return d.state == bodyDone }
 
 // ReadsUntilClose tells whether the body ends with its connection.
-func (d *Body) ReadsUntilClose() bool { return d.state == bodyToEnd }
+func (d *Body) ReadsUntilClose() bool { return d.state == bodyUntilClose }
 
 // Next decodes from the start of b. It returns a piece of the body (part of b, perhaps empty) and how many bytes it
 // used, framing included. Call it again with the rest until it uses nothing or Done.
@@ -67,49 +67,49 @@
 		switch d.state {
 		case bodyDone:
 			return nil, used, nil
-		case bodyToEnd:
+		case bodyUntilClose:
 			return rest, len(b), nil
 		case bodyLength, bodyChunk:
-			n := int(min(int64(len(rest)), d.left))
-			if d.left -= int64(n); d.left == 0 && d.state == bodyLength {
+			n := int(min(int64(len(rest)), d.remaining))
+			if d.remaining -= int64(n); d.remaining == 0 && d.state == bodyLength {
 				d.state = bodyDone
-			} else if d.left == 0 {
+			} else if d.remaining == 0 {
 				d.state = bodyChunkEnd
 			}
 			return rest[:n], used + n, nil
-		case bodySize:
-			line, n, err := d.line(rest, chunkLine)
+		case bodyChunkSize:
+			line, n, err := d.readLine(rest, maxChunkLine)
 			if n == 0 || err != nil {
 				return nil, used, err
 			}
-			size, err := chunkSize(line)
+			size, err := parseChunkSize(line)
 			if err != nil {
 				return nil, used, err
 			}
-			if d.waste = max(0, d.waste+int64(n)-16-2*size); d.waste > chunkWaste {
-				return nil, used, ErrChunkWaste
+			if d.overhead = max(0, d.overhead+int64(n)-16-2*size); d.overhead > maxChunkOverhead {
+				return nil, used, ErrChunkOverhead
 			}
 			if d.limit -= size; d.limit < 0 {
-				return nil, used, ErrBodyLong
+				return nil, used, ErrBodyTooLarge
 			}
 			used += n
-			if d.state, d.left = bodyChunk, size; size == 0 {
+			if d.state, d.remaining = bodyChunk, size; size == 0 {
 				d.state = bodyTrailer
 			}
 		case bodyChunkEnd:
 			if len(rest) < 2 {
 				if len(rest) == 1 && rest[0] != '\r' {
-					return nil, used, ErrChunk
+					return nil, used, ErrMalformedChunk
 				}
 				return nil, used, nil
 			}
 			if rest[0] != '\r' || rest[1] != '\n' {
-				return nil, used, ErrChunk
+				return nil, used, ErrMalformedChunk
 			}
 			used += 2
-			d.state = bodySize
+			d.state = bodyChunkSize
 		case bodyTrailer:
-			line, n, err := d.line(rest, trailerAll)
+			line, n, err := d.readLine(rest, maxTrailerBytes)
 			if n == 0 || err != nil {
 				return nil, used, err
 			}
@@ -118,28 +118,28 @@
 				d.state = bodyDone
 				continue
 			}
-			if d.trails += n; d.trails > trailerAll {
-				return nil, used, ErrHeadLong
+			if d.trailerBytes += n; d.trailerBytes > maxTrailerBytes {
+				return nil, used, ErrHeadTooLarge
 			}
 			i := bytes.IndexByte(line, ':')
-			if i < 0 || !token(line[:i]) {
-				return nil, used, ErrName
+			if i < 0 || !isToken(line[:i]) {
+				return nil, used, ErrInvalidHeaderName
 			}
 			for _, c := range line[i:] {
 				if c < ' ' && c != '\t' || c == 0x7f {
-					return nil, used, ErrValue
+					return nil, used, ErrInvalidHeaderValue
 				}
 			}
 		}
 	}
 }
 
-// line takes one line that ends in CRLF; n is 0 while it is not there whole.
-func (d *Body) line(b []byte, most int) (line []byte, n int, err error) {
+// readLine takes one line that ends in CRLF; n is 0 while it is not there whole.
+func (d *Body) readLine(b []byte, most int) (line []byte, n int, err error) {
 	i := bytes.IndexByte(b, '\n')
 	switch {
 	case i < 0 && len(b) > most || i > most:
-		return nil, 0, ErrChunk
+		return nil, 0, ErrMalformedChunk
 	case i < 0:
 		return nil, 0, nil
 	case i == 0 || b[i-1] != '\r' || bytes.IndexByte(b[:i-1], '\r') >= 0:
@@ -148,26 +148,26 @@
 	return b[:i-1], i + 1, nil
 }
 
-// chunkSize reads a size line. Extensions are passed over; spaces before them are refused.
-func chunkSize(line []byte) (int64, error) {
+// parseChunkSize reads a size line. Extensions are passed over; spaces before them are refused.
+func parseChunkSize(line []byte) (int64, error) {
 	n, i := int64(0), 0
 	for ; i < len(line) && isHex(line[i]); i++ {
 		c := line[i]
-		if digit(c) {
+		if isDigit(c) {
 			c -= '0'
 		} else {
 			c = c | 0x20 - 'a' + 10
 		}
 		if n = n<<4 | int64(c); i >= 15 {
-			return 0, ErrChunk
+			return 0, ErrMalformedChunk
 		}
 	}
 	if i == 0 || i < len(line) && line[i] != ';' {
-		return 0, ErrChunk
+		return 0, ErrMalformedChunk
 	}
 	for _, c := range line[i:] {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return 0, ErrChunk
+			return 0, ErrMalformedChunk
 		}
 	}
 	return n, nil
--- a/internal/httpcodec/head.go
+++ b/internal/httpcodec/head.go
@@ -31,28 +31,28 @@
 
 // The refusals. They are values, so that refusing allocates nothing.
 var (
-	ErrBareLF      = &Error{400, "a line ends in a bare LF or CR"}
-	ErrFirstLine   = &Error{400, "first line malformed"}
-	ErrMethod      = &Error{400, "method is not a token"}
-	ErrTarget      = &Error{400, "request target malformed"}
-	ErrVersion     = &Error{505, "only HTTP/1.0 and HTTP/1.1 are spoken here"}
-	ErrName        = &Error{400, "header name is not a token, or a space stands before the colon"}
-	ErrFold        = &Error{400, "folded header line"}
-	ErrValue       = &Error{400, "control character in a header value"}
-	ErrHost        = &Error{400, "exactly one valid Host is needed"}
-	ErrLength      = &Error{400, "Content-Length malformed or repeated"}
-	ErrFramings    = &Error{400, "Content-Length and Transfer-Encoding at once"}
-	ErrCoding      = &Error{501, "transfer coding not known; only chunked is"}
-	ErrCodingOld   = &Error{400, "Transfer-Encoding in HTTP/1.0"}
-	ErrExpect      = &Error{417, "only 100-continue can be expected"}
-	ErrTrailer     = &Error{400, "a framing header is announced as trailer"}
-	ErrLineLong    = &Error{414, "request target too long"}
-	ErrHeadLong    = &Error{431, "head too large"}
-	ErrHeadersMany = &Error{431, "too many header lines"}
-	ErrBodyLong    = &Error{413, "body too large"}
-	ErrChunk       = &Error{400, "chunk malformed"}
-	ErrChunkWaste  = &Error{400, "chunked encoding holds too much beside data"}
-	ErrStatusLine  = &Error{502, "status line malformed"}
+	ErrBareLF                    = &Error{400, "a line ends in a bare LF or CR"}
+	ErrMalformedFirstLine        = &Error{400, "first line malformed"}
+	ErrInvalidMethod             = &Error{400, "method is not a token"}
+	ErrInvalidTarget             = &Error{400, "request target malformed"}
+	ErrUnsupportedVersion        = &Error{505, "only HTTP/1.0 and HTTP/1.1 are spoken here"}
+	ErrInvalidHeaderName         = &Error{400, "header name is not a token, or a space stands before the colon"}
+	ErrFoldedHeader              = &Error{400, "folded header line"}
+	ErrInvalidHeaderValue        = &Error{400, "control character in a header value"}
+	ErrInvalidHost               = &Error{400, "exactly one valid Host is needed"}
+	ErrInvalidContentLength      = &Error{400, "Content-Length malformed or repeated"}
+	ErrConflictingFraming        = &Error{400, "Content-Length and Transfer-Encoding at once"}
+	ErrUnsupportedTransferCoding = &Error{501, "transfer coding not known; only chunked is"}
+	ErrTransferEncodingInHTTP10  = &Error{400, "Transfer-Encoding in HTTP/1.0"}
+	ErrUnsupportedExpectation    = &Error{417, "only 100-continue can be expected"}
+	ErrFramingTrailer            = &Error{400, "a framing header is announced as trailer"}
+	ErrTargetTooLong             = &Error{414, "request target too long"}
+	ErrHeadTooLarge              = &Error{431, "head too large"}
+	ErrTooManyHeaders            = &Error{431, "too many header lines"}
+	ErrBodyTooLarge              = &Error{413, "body too large"}
+	ErrMalformedChunk            = &Error{400, "chunk malformed"}
+	ErrChunkOverhead             = &Error{400, "chunked encoding holds too much beside data"}
+	ErrMalformedStatusLine       = &Error{502, "status line malformed"}
 )
 
 // Header is one header line; Name stands as received.
@@ -105,14 +105,14 @@
 // ParseRequest parses the head of a request at the start of b. n is its length; 0 without an error means that more bytes
 // are needed.
 func (p *Parser) ParseRequest(b []byte, h *Head) (n int, err error) {
-	if n, err = p.end(b, ErrLineLong); n == 0 || err != nil {
+	if n, err = p.findHeadEnd(b, ErrTargetTooLong); n == 0 || err != nil {
 		return 0, err
 	}
-	line, rest := cut(b[:n-2])
-	if err := h.requestLine(line, p.Limits); err != nil {
+	line, rest := cutLine(b[:n-2])
+	if err := h.parseRequestLine(line, p.Limits); err != nil {
 		return 0, err
 	}
-	if err := h.headers(rest, p.Limits, true); err != nil {
+	if err := h.parseHeaders(rest, p.Limits, true); err != nil {
 		return 0, err
 	}
 	return n, nil
@@ -120,28 +120,28 @@
 
 // ParseResponse parses the head of an answer at the start of b, as Request does.
 func (p *Parser) ParseResponse(b []byte, h *Head) (n int, err error) {
-	if n, err = p.end(b, ErrHeadLong); n == 0 || err != nil {
+	if n, err = p.findHeadEnd(b, ErrHeadTooLarge); n == 0 || err != nil {
 		return 0, err
 	}
-	line, rest := cut(b[:n-2])
-	if err := h.statusLine(line); err != nil {
+	line, rest := cutLine(b[:n-2])
+	if err := h.parseStatusLine(line); err != nil {
 		return 0, err
 	}
-	if err := h.headers(rest, p.Limits, false); err != nil {
+	if err := h.parseHeaders(rest, p.Limits, false); err != nil {
 		return 0, err
 	}
 	return n, nil
 }
 
-// end finds the empty line that ends a head.
-func (p *Parser) end(b []byte, long *Error) (int, error) {
+// findHeadEnd finds the empty line that ends a head.
+func (p *Parser) findHeadEnd(b []byte, long *Error) (int, error) {
 	from := max(0, p.scanned-3)
-	if i := bytes.Index(b[from:], crlf2); i >= 0 {
+	if i := bytes.Index(b[from:], headEnd); i >= 0 {
 		p.scanned = 0
 		if n := from + i + 4; n <= p.Limits.Head {
 			return n, nil
 		}
-		return 0, ErrHeadLong
+		return 0, ErrHeadTooLarge
 	}
 	// A bare LF never becomes part of a good head: refuse it now, rather than wait for more.
 	for i := from; i < len(b); i++ {
@@ -154,15 +154,15 @@
 		return 0, long
 	}
 	if len(b) >= p.Limits.Head {
-		return 0, ErrHeadLong
+		return 0, ErrHeadTooLarge
 	}
 	return 0, nil
 }
 
-var crlf2 = []byte("\r\n\r\n")
+var headEnd = []byte("\r\n\r\n")
 
-// cut takes the first line off; the rest keeps its line ends.
-func cut(b []byte) (line, rest []byte) {
+// cutLine takes the first line off; the rest keeps its line ends.
+func cutLine(b []byte) (line, rest []byte) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
 		return b, nil
@@ -173,98 +173,98 @@
 	return b[:i+1], b[i+1:] // the bare LF stays in, and is refused as a control character
 }
 
-func (h *Head) requestLine(line []byte, lim Limits) error {
+func (h *Head) parseRequestLine(line []byte, lim Limits) error {
 	if bytes.IndexByte(line, '\n') >= 0 || bytes.IndexByte(line, '\r') >= 0 {
 		return ErrBareLF
 	}
 	i := bytes.IndexByte(line, ' ')
 	j := bytes.LastIndexByte(line, ' ')
 	if i <= 0 || j <= i {
-		return ErrFirstLine
+		return ErrMalformedFirstLine
 	}
 	h.Method, h.Target = line[:i], line[i+1:j]
-	if !token(h.Method) {
-		return ErrMethod
+	if !isToken(h.Method) {
+		return ErrInvalidMethod
 	}
 	if len(line) > lim.Line {
-		return ErrLineLong
+		return ErrTargetTooLong
 	}
-	if err := h.version(line[j+1:]); err != nil {
+	if err := h.parseVersion(line[j+1:]); err != nil {
 		return err
 	}
 	if len(h.Target) == 0 || h.Target[0] != '/' && !(string(h.Target) == "*" && string(h.Method) == "OPTIONS") {
-		return ErrTarget
+		return ErrInvalidTarget
 	}
 	for k := 0; k < len(h.Target); k++ {
 		switch c := h.Target[k]; {
 		case c <= ' ' || c >= 0x7f || c == '#' || c == '\\':
-			return ErrTarget
+			return ErrInvalidTarget
 		case c == '%' && (k+2 >= len(h.Target) || !isHex(h.Target[k+1]) || !isHex(h.Target[k+2])):
-			return ErrTarget
+			return ErrInvalidTarget
 		}
 	}
 	return nil
 }
 
-func (h *Head) version(v []byte) error {
+func (h *Head) parseVersion(v []byte) error {
 	switch string(v) {
 	case "HTTP/1.1":
 		h.Minor = 1
 	case "HTTP/1.0":
 		h.Minor = 0
 	default:
-		if len(v) == 8 && string(v[:5]) == "HTTP/" && digit(v[5]) && v[6] == '.' && digit(v[7]) {
-			return ErrVersion
+		if len(v) == 8 && string(v[:5]) == "HTTP/" && isDigit(v[5]) && v[6] == '.' && isDigit(v[7]) {
+			return ErrUnsupportedVersion
 		}
-		return ErrFirstLine
+		return ErrMalformedFirstLine
 	}
 	return nil
 }
 
-func (h *Head) statusLine(line []byte) error {
-	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' || h.version(line[:8]) != nil {
-		return ErrStatusLine
+func (h *Head) parseStatusLine(line []byte) error {
+	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' || h.parseVersion(line[:8]) != nil {
+		return ErrMalformedStatusLine
 	}
 	h.Status = 0
 	for _, c := range line[9:12] {
-		if !digit(c) {
-			return ErrStatusLine
+		if !isDigit(c) {
+			return ErrMalformedStatusLine
 		}
 		h.Status = 10*h.Status + int(c-'0')
 	}
 	if h.Status < 100 {
-		return ErrStatusLine
+		return ErrMalformedStatusLine
 	}
 	for _, c := range line[12:] {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return ErrStatusLine
+			return ErrMalformedStatusLine
 		}
 	}
 	return nil
 }
 
-// headers parses the header lines and what they say of the framing.
-func (h *Head) headers(b []byte, lim Limits, request bool) error {
+// parseHeaders parses the header lines and what they say of the framing.
+func (h *Head) parseHeaders(b []byte, lim Limits, request bool) error {
 	h.Headers, h.Length, h.Chunked, h.Expect = h.Headers[:0], -1, false, false
 	h.Close = h.Minor == 0
 	hosts, codings := 0, 0
 	trailer := false
 	for len(b) > 0 {
 		var line []byte
-		if line, b = cut(b); len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
-			return ErrFold
+		if line, b = cutLine(b); len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
+			return ErrFoldedHeader
 		}
 		if len(h.Headers) >= lim.Headers {
-			return ErrHeadersMany
+			return ErrTooManyHeaders
 		}
 		i := bytes.IndexByte(line, ':')
-		if i < 0 || !token(line[:i]) {
-			return ErrName
+		if i < 0 || !isToken(line[:i]) {
+			return ErrInvalidHeaderName
 		}
-		name, value := line[:i], trim(line[i+1:])
+		name, value := line[:i], trimSpace(line[i+1:])
 		for _, c := range value {
 			if c < ' ' && c != '\t' || c == 0x7f {
-				return ErrValue
+				return ErrInvalidHeaderValue
 			}
 		}
 		h.Headers = append(h.Headers, Header{name, value})
@@ -273,10 +273,10 @@
 			switch {
 			case EqualsLower(name, "content-length"):
 				if h.Length >= 0 {
-					return ErrLength
+					return ErrInvalidContentLength
 				}
-				if h.Length = decimal(value); h.Length < 0 {
-					return ErrLength
+				if h.Length = parseDecimal(value); h.Length < 0 {
+					return ErrInvalidContentLength
 				}
 			case EqualsLower(name, "connection"):
 				if list(value, "close") {
@@ -289,7 +289,7 @@
 			switch {
 			case EqualsLower(name, "transfer-encoding"):
 				if codings++; codings > 1 || !EqualsLower(value, "chunked") {
-					return ErrCoding
+					return ErrUnsupportedTransferCoding
 				}
 				h.Chunked = true
 			case EqualsLower(name, "trailer"):
@@ -297,14 +297,14 @@
 			}
 		case 'h':
 			if request && EqualsLower(name, "host") {
-				if hosts++; hosts > 1 || !validHost(value) {
-					return ErrHost
+				if hosts++; hosts > 1 || !isValidHost(value) {
+					return ErrInvalidHost
 				}
 			}
 		case 'e':
 			if request && EqualsLower(name, "expect") {
 				if !EqualsLower(value, "100-continue") {
-					return ErrExpect
+					return ErrUnsupportedExpectation
 				}
 				h.Expect = h.Minor == 1
 			}
@@ -312,15 +312,15 @@
 	}
 	switch {
 	case h.Chunked && h.Length >= 0:
-		return ErrFramings
+		return ErrConflictingFraming
 	case h.Chunked && h.Minor == 0:
-		return ErrCodingOld
+		return ErrTransferEncodingInHTTP10
 	case h.Chunked && trailer:
-		return ErrTrailer
+		return ErrFramingTrailer
 	case request && h.Minor == 1 && hosts != 1:
-		return ErrHost
+		return ErrInvalidHost
 	case request && h.Length > lim.Body:
-		return ErrBodyLong
+		return ErrBodyTooLarge
 	}
 	return nil
 }
@@ -332,7 +332,7 @@
 		if i < 0 {
 			i = len(b)
 		}
-		if EqualsLower(trim(b[:i]), word) {
+		if EqualsLower(trimSpace(b[:i]), word) {
 			return true
 		}
 		b = b[min(i+1, len(b)):]
@@ -340,7 +340,7 @@
 	return false
 }
 
-func trim(b []byte) []byte {
+func trimSpace(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
 		b = b[1:]
 	}
@@ -350,14 +350,14 @@
 	return b
 }
 
-// decimal reads digits only; -1 if there is anything else, or too much.
-func decimal(b []byte) int64 {
+// parseDecimal reads digits only; -1 if there is anything else, or too much.
+func parseDecimal(b []byte) int64 {
 	if len(b) == 0 || len(b) > 18 {
 		return -1
 	}
 	n := int64(0)
 	for _, c := range b {
-		if !digit(c) {
+		if !isDigit(c) {
 			return -1
 		}
 		n = 10*n + int64(c-'0')
@@ -365,22 +365,22 @@
 	return n
 }
 
-func digit(c byte) bool { return '0' <= c && c <= '9' }
-func isHex(c byte) bool { return digit(c) || 'a' <= c|0x20 && c|0x20 <= 'f' }
+func isDigit(c byte) bool { return '0' <= c && c <= '9' }
+func isHex(c byte) bool   { return isDigit(c) || 'a' <= c|0x20 && c|0x20 <= 'f' }
 
-// token tells whether all bytes are token characters of RFC 9110, and there is one at least.
-func token(b []byte) bool {
+// isToken tells whether all bytes are token characters of RFC 9110, and there is one at least.
+func isToken(b []byte) bool {
 	for _, c := range b {
-		if !tokens[c] {
+		if !tokenChars[c] {
 			return false
 		}
 	}
 	return len(b) > 0
 }
 
-var tokens, hostChars = table("!#$%&'*+-.^_`|~"), table("!$%&'()*+,-.:;=[]_~")
+var tokenChars, hostChars = charTable("!#$%&'*+-.^_`|~"), charTable("!$%&'()*+,-.:;=[]_~")
 
-func table(extra string) (t [256]bool) {
+func charTable(extra string) (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
 	}
@@ -393,7 +393,7 @@
 	return t
 }
 
-func validHost(b []byte) bool {
+func isValidHost(b []byte) bool {
 	for _, c := range b {
 		if !hostChars[c] {
 			return false
@@ -409,7 +409,7 @@
 		if i < 0 {
 			i = len(value)
 		}
-		if bytes.EqualFold(trim(value[:i]), name) {
+		if bytes.EqualFold(trimSpace(value[:i]), name) {
 			return true
 		}
 		value = value[min(i+1, len(value)):]
--- a/internal/httpconn/client.go
+++ b/internal/httpconn/client.go
@@ -48,28 +48,28 @@
 	// NotAfter is the loop's time after which it must not be sent any more: it ends with ErrAbandoned then; 0 for never.
 	SendDeadline float64
 
-	pool   *Pool
-	conn   *clientConn
-	head   []byte
-	body   []byte  // what is left of it to be written
-	whole  []byte  // all of it
-	built  float64 // when the head was written
-	from   uint64  // bytes of the connection before this request
-	queued bool
-	wrote  bool
-	given  bool // FailUnsent will end it
+	pool          *Pool
+	conn          *clientConn
+	head          []byte
+	unwrittenBody []byte  // what is left of it to be written
+	fullBody      []byte  // all of it
+	headBuiltAt   float64 // when the head was written
+	startOffset   uint64  // bytes of the connection before this request
+	queued        bool
+	anyByteSent   bool
+	failing       bool // FailUnsent will end it
 }
 
 // Pool holds the connections to one peer.
 type Pool struct {
-	Loop   *eventloop.Loop
-	Addr   netip.AddrPort
-	opt    PoolOptions
-	idle   []*clientConn // the one used last at the end
-	all    map[*clientConn]struct{}
-	queue  []*Call
-	first  int // of the queue; those before it have gone
-	closed bool
+	Loop       *eventloop.Loop
+	Addr       netip.AddrPort
+	options    PoolOptions
+	idle       []*clientConn // the one used last at the end
+	conns      map[*clientConn]struct{}
+	queue      []*Call
+	queueStart int // of the queue; those before it have gone
+	closed     bool
 }
 
 // NewPool makes a pool; it opens connections as they are needed.
@@ -86,19 +86,19 @@
 	if opt.ConnectTimeout <= 0 {
 		opt.ConnectTimeout = 0.25
 	}
-	return &Pool{Loop: l, Addr: addr, opt: opt, all: map[*clientConn]struct{}{}}
+	return &Pool{Loop: l, Addr: addr, options: opt, conns: map[*clientConn]struct{}{}}
 }
 
 // ConnectionCount is how many connections there are, idle ones included; QueuedCount is how many calls wait for one.
-func (p *Pool) ConnectionCount() int { return len(p.all) }
+func (p *Pool) ConnectionCount() int { return len(p.conns) }
 
 // Queued is how many calls wait for a connection.
-func (p *Pool) QueuedCount() int { return len(p.queue) - p.first }
+func (p *Pool) QueuedCount() int { return len(p.queue) - p.queueStart }
 
 // Do sends a request: head whole with its empty line, and body. Both are to stay as they are until the call has ended.
 func (p *Pool) Do(c *Call, head, body []byte) {
-	c.pool, c.conn, c.head, c.body, c.from, c.SentAt, c.queued, c.given, c.wrote = p, nil, head, body, 0, 0, false, false, false
-	c.whole, c.built = body, p.Loop.Clock()
+	c.pool, c.conn, c.head, c.unwrittenBody, c.startOffset, c.SentAt, c.queued, c.failing, c.anyByteSent = p, nil, head, body, 0, 0, false, false, false
+	c.fullBody, c.headBuiltAt = body, p.Loop.Clock()
 	if n := len(p.idle); n > 0 {
 		conn := p.idle[n-1]
 		p.idle = p.idle[:n-1]
@@ -106,7 +106,7 @@
 		conn.carry(c)
 		return
 	}
-	if len(p.all) >= p.opt.MaxConnections {
+	if len(p.conns) >= p.options.MaxConnections {
 		c.queued = true
 		p.queue = append(p.queue, c)
 		return
@@ -116,21 +116,21 @@
 
 func (p *Pool) dial(c *Call) {
 	conn := &clientConn{pool: p, call: c, parser: httpcodec.Parser{Limits: httpcodec.Limits{Line: 8 << 10, Head: 64 << 10, Headers: 200}}}
-	conn.timer.Fire = conn.expire
-	p.all[conn] = struct{}{}
+	conn.timer.Fire = conn.closeIdle
+	p.conns[conn] = struct{}{}
 	c.conn = conn
-	conn.conn = p.Loop.Dial(p.Addr, p.opt.ConnectTimeout, conn)
+	conn.tcp = p.Loop.Dial(p.Addr, p.options.ConnectTimeout, conn)
 }
 
-// next gives a connection's place to a call that waits.
-func (p *Pool) next(conn *clientConn) {
+// serveNext gives a connection's place to a call that waits.
+func (p *Pool) serveNext(conn *clientConn) {
 	if p.QueuedCount() > 0 {
-		c := p.queue[p.first]
-		p.queue[p.first] = nil
-		if p.first++; 2*p.first >= len(p.queue) {
-			n := copy(p.queue, p.queue[p.first:])
+		c := p.queue[p.queueStart]
+		p.queue[p.queueStart] = nil
+		if p.queueStart++; 2*p.queueStart >= len(p.queue) {
+			n := copy(p.queue, p.queue[p.queueStart:])
 			clear(p.queue[n:])
-			p.queue, p.first = p.queue[:n], 0
+			p.queue, p.queueStart = p.queue[:n], 0
 		}
 		c.queued = false
 		if conn != nil {
@@ -143,18 +143,18 @@
 	if conn == nil {
 		return
 	}
-	if len(p.idle) >= p.opt.MaxIdle || p.closed {
-		conn.drop()
+	if len(p.idle) >= p.options.MaxIdle || p.closed {
+		conn.close()
 		return
 	}
 	p.idle = append(p.idle, conn)
-	p.Loop.Start(&conn.timer, p.opt.IdleTimeout)
+	p.Loop.Start(&conn.timer, p.options.IdleTimeout)
 }
 
 // CloseIdle closes the idle connections.
 func (p *Pool) CloseIdle() {
 	for _, c := range p.idle {
-		c.drop()
+		c.close()
 	}
 	p.idle = p.idle[:0]
 }
@@ -162,24 +162,24 @@
 // FailUnsent ends, with ErrAbandoned and soon, every call of which nothing was sent: those that wait for a connection,
 // and those whose connection is not up.
 func (p *Pool) FailUnsent() {
-	calls := append([]*Call(nil), p.queue[p.first:]...)
-	for conn := range p.all {
-		if conn.call != nil && !conn.conn.Established() {
+	calls := append([]*Call(nil), p.queue[p.queueStart:]...)
+	for conn := range p.conns {
+		if conn.call != nil && !conn.tcp.Established() {
 			calls = append(calls, conn.call)
 		}
 	}
 	for _, c := range calls {
 		c.Cancel()
-		p.abandon(c)
+		p.failSoon(c)
 	}
 }
 
-// abandon ends a call soon that has no connection.
-func (p *Pool) abandon(c *Call) {
-	c.given = true
+// failSoon ends a call soon that has no connection.
+func (p *Pool) failSoon(c *Call) {
+	c.failing = true
 	p.Loop.Defer(func() {
-		if c.given {
-			c.given = false
+		if c.failing {
+			c.failing = false
 			c.Handler.ResponseDone(ErrNotSent)
 		}
 	})
@@ -193,10 +193,10 @@
 
 // Cancel gives the call up: its connection is closed, and the caller hears no more.
 func (c *Call) Cancel() {
-	c.given = false
+	c.failing = false
 	if c.queued {
 		for i, q := range c.pool.queue {
-			if q == c && i >= c.pool.first {
+			if q == c && i >= c.pool.queueStart {
 				c.pool.queue = append(c.pool.queue[:i], c.pool.queue[i+1:]...)
 				break
 			}
@@ -207,39 +207,39 @@
 	if conn := c.conn; conn != nil {
 		c.conn = nil
 		conn.call = nil
-		conn.drop()
-		c.pool.next(nil)
+		conn.close()
+		c.pool.serveNext(nil)
 	}
 }
 
 // AnyByteSent tells whether any byte of the request has gone to the kernel: only without one it is sure that it never ran.
 // It is to be asked before the call is cancelled or used again.
 func (c *Call) AnyByteSent() bool {
-	return c.wrote || c.conn != nil && c.SentAt > 0 && c.conn.conn.SentBytes() > c.from
+	return c.anyByteSent || c.conn != nil && c.SentAt > 0 && c.conn.tcp.SentBytes() > c.startOffset
 }
 
 // FullySent tells whether all of the request has been handed to a connection that is up: until then head and body are in
 // use.
-func (c *Call) FullySent() bool { return c.SentAt > 0 && len(c.body) == 0 }
+func (c *Call) FullySent() bool { return c.SentAt > 0 && len(c.unwrittenBody) == 0 }
 
 // UnsentBytes is how many bytes of requests wait for the peer on the call's connection.
 func (c *Call) UnsentBytes() int {
 	if c.conn == nil {
 		return 0
 	}
-	return c.conn.conn.UnsentBytes()
+	return c.conn.tcp.UnsentBytes()
 }
 
 // Pause and Resume hold the answer's body back.
 func (c *Call) Pause() {
 	if c.conn != nil {
-		c.conn.conn.Pause()
+		c.conn.tcp.Pause()
 	}
 }
 
 // Resume undoes Pause.
 func (c *Call) Resume() {
 	if c.conn != nil {
-		c.conn.conn.Resume()
+		c.conn.tcp.Resume()
 	}
 }
--- a/internal/httpconn/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -10,88 +10,88 @@
 
 // clientConn is one connection to the peer; it carries one call at a time.
 type clientConn struct {
-	pool   *Pool
-	conn   *eventloop.Conn
-	call   *Call
-	parser httpcodec.Parser
-	head   httpcodec.Head
-	body   httpcodec.Body
-	timer  eventloop.Timer
-	headed bool
-	used   bool // it has carried a call
+	pool         *Pool
+	tcp          *eventloop.Conn
+	call         *Call
+	parser       httpcodec.Parser
+	head         httpcodec.Head
+	body         httpcodec.Body
+	timer        eventloop.Timer
+	headReceived bool
+	hasCarried   bool // it has carried a call
 }
 
-func (c *clientConn) expire() {
+func (c *clientConn) closeIdle() {
 	for i, o := range c.pool.idle {
 		if o == c {
 			c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
-			c.drop()
+			c.close()
 			return
 		}
 	}
 }
 
-func (c *clientConn) drop() {
+func (c *clientConn) close() {
 	c.pool.Loop.Cancel(&c.timer)
-	delete(c.pool.all, c)
-	c.conn.Close()
+	delete(c.pool.conns, c)
+	c.tcp.Close()
 }
 
 // carry sends a call, unless it waited for too long.
 func (c *clientConn) carry(call *Call) {
-	if !c.renew(call) {
+	if !c.refreshHead(call) {
 		c.call, call.conn = nil, nil
-		c.pool.abandon(call)
-		c.pool.next(c)
+		c.pool.failSoon(call)
+		c.pool.serveNext(c)
 		return
 	}
 	c.send(call)
 }
 
-// renew has a call that waited written anew, and tells whether it may be sent.
-func (c *clientConn) renew(call *Call) bool {
+// refreshHead has a call that waited written anew, and tells whether it may be sent.
+func (c *clientConn) refreshHead(call *Call) bool {
 	now := c.pool.Loop.Clock()
 	if call.SendDeadline > 0 && now > call.SendDeadline {
 		return false
 	}
 	r, ok := call.Handler.(HeadRewriter)
-	if !ok || now-call.built <= rules.MaxDeadlineAge {
+	if !ok || now-call.headBuiltAt <= rules.MaxDeadlineAge {
 		return true
 	}
 	head, ok := r.RewriteHead()
-	call.head, call.built = head, now
+	call.head, call.headBuiltAt = head, now
 	return ok
 }
 
 // BeforeWrite implements eventloop.WriteInterceptor: a request that waited, with none of it gone, is looked at once more.
 func (c *clientConn) BeforeWrite(conn *eventloop.Conn) {
 	call := c.call
-	if call == nil || call.SentAt == 0 || conn.SentBytes() > call.from || c.pool.Loop.Clock()-call.built <= rules.MaxDeadlineAge {
+	if call == nil || call.SentAt == 0 || conn.SentBytes() > call.startOffset || c.pool.Loop.Clock()-call.headBuiltAt <= rules.MaxDeadlineAge {
 		return
 	}
-	if conn.Unwrite(call.from, conn.WrittenBytes()) {
-		call.body = call.whole
+	if conn.Unwrite(call.startOffset, conn.WrittenBytes()) {
+		call.unwrittenBody = call.fullBody
 		c.carry(call)
 	}
 }
 
 func (c *clientConn) send(call *Call) {
-	c.call, call.conn, c.headed, c.used = call, c, false, true
-	call.from, call.SentAt = c.conn.WrittenBytes(), c.pool.Loop.Now()
-	c.conn.Write(call.head)
-	c.more()
+	c.call, call.conn, c.headReceived, c.hasCarried = call, c, false, true
+	call.startOffset, call.SentAt = c.tcp.WrittenBytes(), c.pool.Loop.Now()
+	c.tcp.Write(call.head)
+	c.writeBodyPiece()
 }
 
-// bodyPiece is how much of a request's body is handed to the connection at a time, so that long ones are not held twice.
-const bodyPiece = 128 << 10
+// bodyPieceBytes is how much of a request's body is handed to the connection at a time, so that long ones are not held twice.
+const bodyPieceBytes = 128 << 10
 
-// more writes the next piece of the request's body.
-func (c *clientConn) more() {
-	if call := c.call; len(call.body) > 0 {
-		n := min(len(call.body), bodyPiece)
-		c.conn.Write(call.body[:n])
-		if call.body = call.body[n:]; len(call.body) > 0 {
-			c.conn.NotifyFlushed()
+// writeBodyPiece writes the next piece of the request's body.
+func (c *clientConn) writeBodyPiece() {
+	if call := c.call; len(call.unwrittenBody) > 0 {
+		n := min(len(call.unwrittenBody), bodyPieceBytes)
+		c.tcp.Write(call.unwrittenBody[:n])
+		if call.unwrittenBody = call.unwrittenBody[n:]; len(call.unwrittenBody) > 0 {
+			c.tcp.NotifyFlushed()
 		}
 	}
 }
@@ -100,19 +100,19 @@
 	if c.call != nil {
 		c.carry(c.call)
 	} else {
-		c.pool.next(c)
+		c.pool.serveNext(c)
 	}
 }
 
 func (c *clientConn) Flushed(*eventloop.Conn) {
 	if c.call != nil {
-		c.more()
+		c.writeBodyPiece()
 	}
 }
 
 func (c *clientConn) Closed(_ *eventloop.Conn, err error) {
 	c.pool.Loop.Cancel(&c.timer)
-	delete(c.pool.all, c)
+	delete(c.pool.conns, c)
 	if c.call == nil {
 		for i, o := range c.pool.idle {
 			if o == c {
@@ -120,31 +120,31 @@
 				break
 			}
 		}
-		if c.pool.opt.OnConnectionLost != nil && c.used {
-			c.pool.opt.OnConnectionLost()
+		if c.pool.options.OnConnectionLost != nil && c.hasCarried {
+			c.pool.options.OnConnectionLost()
 		}
 		return
 	}
-	if err == io.EOF && c.headed && c.body.ReadsUntilClose() {
+	if err == io.EOF && c.headReceived && c.body.ReadsUntilClose() {
 		err = nil
-	} else if c.headed {
+	} else if c.headReceived {
 		err = ErrTruncated
 	}
 	call := c.call
 	c.call = nil
-	c.leave(call)
-	wrote := call.wrote
+	c.detach(call)
+	wrote := call.anyByteSent
 	call.Handler.ResponseDone(err)
-	if err != nil && wrote && c.pool.opt.OnConnectionLost != nil {
-		c.pool.opt.OnConnectionLost()
+	if err != nil && wrote && c.pool.options.OnConnectionLost != nil {
+		c.pool.options.OnConnectionLost()
 	}
-	c.pool.next(nil)
+	c.pool.serveNext(nil)
 }
 
 func (c *clientConn) Received(conn *eventloop.Conn, b []byte) int {
 	used := 0
 	for c.call != nil && conn.Open() {
-		if !c.headed {
+		if !c.headReceived {
 			n, err := c.parser.ParseResponse(b[used:], &c.head)
 			if err != nil {
 				c.fail(ErrMalformedResponse)
@@ -157,7 +157,7 @@
 			if c.head.Status < 200 {
 				continue
 			}
-			c.headed = true
+			c.headReceived = true
 			c.body.ResetResponse(&c.head, c.call.HEAD)
 			call := c.call
 			call.Handler.ResponseHead(&c.head)
@@ -183,34 +183,34 @@
 			}
 		}
 		// Whole. What stands behind it, or a request not wholly sent, spoils the connection for others.
-		reuse := !c.head.Close && used == len(b) && conn.UnsentBytes() == 0 && len(call.body) == 0
+		reuse := !c.head.Close && used == len(b) && conn.UnsentBytes() == 0 && len(call.unwrittenBody) == 0
 		c.call = nil
-		c.leave(call)
+		c.detach(call)
 		call.Handler.ResponseDone(nil)
 		if reuse {
-			c.pool.next(c)
+			c.pool.serveNext(c)
 		} else {
-			c.drop()
-			c.pool.next(nil)
+			c.close()
+			c.pool.serveNext(nil)
 		}
 		return used
 	}
 	if c.call == nil && conn.Open() && len(b) > used { // unasked bytes
-		c.expire()
+		c.closeIdle()
 	}
 	return len(b)
 }
 
-// leave parts a call that ends from its connection, which may go on with others.
-func (c *clientConn) leave(call *Call) {
-	call.wrote, call.conn = call.AnyByteSent(), nil
+// detach parts a call that ends from its connection, which may go on with others.
+func (c *clientConn) detach(call *Call) {
+	call.anyByteSent, call.conn = call.AnyByteSent(), nil
 }
 
 func (c *clientConn) fail(err error) {
 	call := c.call
 	c.call = nil
-	c.drop()
-	c.leave(call)
+	c.close()
+	c.detach(call)
 	call.Handler.ResponseDone(err)
-	c.pool.next(nil)
+	c.pool.serveNext(nil)
 }
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -13,35 +13,35 @@
 	ServiceState any // for the service
 	Peer         netip.AddrPort
 
-	c        *serverConn
-	head     []byte
-	decoder  httpcodec.Body
-	booked   int64
-	whole    bool // the request is complete
-	stream   bool // the answer has begun and goes on
-	chunked  bool
-	headOnly bool
-	close    bool // the connection ends after this answer
-	drained  bool // the service waits for room
+	conn            *serverConn
+	headBytes       []byte
+	decoder         httpcodec.Body
+	reservedBytes   int64
+	requestComplete bool // the request is complete
+	streaming       bool // the answer has begun and goes on
+	chunked         bool
+	headOnly        bool
+	closeAfter      bool // the connection ends after this answer
+	streamBlocked   bool // the service waits for room
 }
 
 // ReceivedAt is when the last bytes of the request came in, on the loop's clock.
-func (x *Exchange) ReceivedAt() float64 { return x.c.conn.ReceivedAt() }
+func (x *Exchange) ReceivedAt() float64 { return x.conn.tcp.ReceivedAt() }
 
-func (x *Exchange) book(n int64) bool {
-	if !x.c.v.opt.Budget.Reserve(n) {
+func (x *Exchange) reserve(n int64) bool {
+	if !x.conn.server.options.Budget.Reserve(n) {
 		return false
 	}
-	x.booked += n
+	x.reservedBytes += n
 	return true
 }
 
 // StartResponse begins an answer: it returns bytes to append header lines to, for Finish or Stream.
 func (x *Exchange) StartResponse(status int) []byte {
-	b := httpcodec.AppendStatus(x.c.v.scratch[:0], status)
-	x.close = x.close || !x.whole && !x.decoder.Done() // a body not read would be taken for the next request
-	if x.close || x.c.v.draining {
-		x.close = true
+	b := httpcodec.AppendStatus(x.conn.server.scratch[:0], status)
+	x.closeAfter = x.closeAfter || !x.requestComplete && !x.decoder.Done() // a body not read would be taken for the next request
+	if x.closeAfter || x.conn.server.draining {
+		x.closeAfter = true
 		b = append(b, "Connection: close\r\n"...)
 	} else if x.Head.Minor == 0 {
 		b = append(b, "Connection: keep-alive\r\n"...)
@@ -61,87 +61,87 @@
 	} else {
 		body = nil
 	}
-	x.c.conn.Write(b)
+	x.conn.tcp.Write(b)
 	if len(body) > 0 {
-		x.c.conn.Write(body)
+		x.conn.tcp.Write(body)
 	}
-	x.keep(b)
-	x.done()
+	x.keepScratch(b)
+	x.finish()
 }
 
-func (x *Exchange) keep(b []byte) {
-	if cap(b) > cap(x.c.v.scratch) && cap(b) <= 64<<10 {
-		x.c.v.scratch = b[:0]
+func (x *Exchange) keepScratch(b []byte) {
+	if cap(b) > cap(x.conn.server.scratch) && cap(b) <= 64<<10 {
+		x.conn.server.scratch = b[:0]
 	}
 }
 
 // StartStream ends the head and lets a body of the given length follow by Write and End; -1 means that it is not known.
 func (x *Exchange) StartStream(b []byte, length int64) {
-	if x.stream = true; length >= 0 {
+	if x.streaming = true; length >= 0 {
 		b = httpcodec.AppendLength(b, length)
 	} else if x.Head.Minor == 1 {
 		x.chunked = true
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 	} else {
-		x.close = true
+		x.closeAfter = true
 	}
-	x.c.conn.Write(append(b, "\r\n"...))
-	x.keep(b)
-	x.c.v.Loop.Start(&x.c.timer, x.c.v.opt.BodyTimeout)
+	x.conn.tcp.Write(append(b, "\r\n"...))
+	x.keepScratch(b)
+	x.conn.server.Loop.Start(&x.conn.timer, x.conn.server.options.BodyTimeout)
 }
 
 // WriteStream sends a piece of a streamed body. It returns false when the sender should wait for Drained.
 func (x *Exchange) WriteStream(data []byte) bool {
 	if !x.headOnly {
 		if x.chunked {
-			b := httpcodec.AppendChunk(x.c.v.scratch[:0], data)
-			x.c.conn.Write(b)
-			x.keep(b)
+			b := httpcodec.AppendChunk(x.conn.server.scratch[:0], data)
+			x.conn.tcp.Write(b)
+			x.keepScratch(b)
 		} else {
-			x.c.conn.Write(data)
+			x.conn.tcp.Write(data)
 		}
 	}
-	if x.c.conn.UnsentBytes() > x.c.v.opt.StreamAhead {
-		x.drained = true
+	if x.conn.tcp.UnsentBytes() > x.conn.server.options.StreamAhead {
+		x.streamBlocked = true
 		return false
 	}
-	x.c.v.Loop.Start(&x.c.timer, x.c.v.opt.BodyTimeout)
+	x.conn.server.Loop.Start(&x.conn.timer, x.conn.server.options.BodyTimeout)
 	return true
 }
 
 // EndStream ends a streamed answer. x is void then.
 func (x *Exchange) EndStream() {
 	if x.chunked && !x.headOnly {
-		x.c.conn.Write([]byte(httpcodec.LastChunk))
+		x.conn.tcp.Write([]byte(httpcodec.LastChunk))
 	}
-	x.done()
+	x.finish()
 }
 
 // AbortStream cuts a streamed answer off: the peer sees that it is not whole. x is void then.
 func (x *Exchange) AbortStream() {
-	c := x.c
+	c := x.conn
 	if c == nil { // it has ended by itself meanwhile
 		return
 	}
-	c.conn.Abort()
-	c.over()
+	c.tcp.Abort()
+	c.release()
 }
 
-// done ends the exchange and goes on with the connection.
-func (x *Exchange) done() {
-	c := x.c
-	closes := x.close
-	c.x = nil
-	c.v.put(x)
+// finish ends the exchange and goes on with the connection.
+func (x *Exchange) finish() {
+	c := x.conn
+	closes := x.closeAfter
+	c.exchange = nil
+	c.server.releaseExchange(x)
 	if closes {
-		c.conn.CloseFlushed()
-		c.over()
+		c.tcp.CloseFlushed()
+		c.release()
 		return
 	}
-	c.v.Loop.Start(&c.timer, c.v.opt.IdleTimeout)
-	c.conn.Resume()
-	if !c.inData {
-		c.conn.Redeliver()
+	c.server.Loop.Start(&c.timer, c.server.options.IdleTimeout)
+	c.tcp.Resume()
+	if !c.receiving {
+		c.tcp.Redeliver()
 	}
 }
 
@@ -165,7 +165,7 @@
 }
 
 // CloseAfter lets the connection end after this answer.
-func (x *Exchange) CloseAfter() { x.close = true }
+func (x *Exchange) CloseAfter() { x.closeAfter = true }
 
 // UnsentBytes is how many bytes of the answer wait for the peer.
-func (x *Exchange) UnsentBytes() int { return x.c.conn.UnsentBytes() }
+func (x *Exchange) UnsentBytes() int { return x.conn.tcp.UnsentBytes() }
--- a/internal/httpconn/server.go
+++ b/internal/httpconn/server.go
@@ -52,19 +52,19 @@
 
 // Server serves HTTP/1.1 on one listener.
 type Server struct {
-	Loop     *eventloop.Loop
-	Service  Service
-	opt      ServerOptions
-	listener *eventloop.Listener
-	conns    map[*serverConn]struct{}
-	free     []*Exchange
-	scratch  []byte
-	draining bool
+	Loop          *eventloop.Loop
+	Service       Service
+	options       ServerOptions
+	listener      *eventloop.Listener
+	conns         map[*serverConn]struct{}
+	freeExchanges []*Exchange
+	scratch       []byte
+	draining      bool
 }
 
 const (
-	drainQuiet = 0.06 // s without a byte before an idle connection is closed while draining
-	drainHead  = 1.0  // s that a connection accepted while draining may take for its head
+	drainIdleTimeout = 0.06 // s without a byte before an idle connection is closed while draining
+	drainHeadTimeout = 1.0  // s that a connection accepted while draining may take for its head
 )
 
 // NewServer listens at an address and serves there.
@@ -86,7 +86,7 @@
 	if opt.Budget == nil {
 		opt.Budget = &MemoryBudget{}
 	}
-	v := &Server{Loop: l, Service: s, opt: opt, conns: map[*serverConn]struct{}{}}
+	v := &Server{Loop: l, Service: s, options: opt, conns: map[*serverConn]struct{}{}}
 	var err error
 	v.listener, err = l.Listen(at, v.accept)
 	return v, err
@@ -109,8 +109,8 @@
 	v.draining = true
 	v.listener.Drain()
 	for c := range v.conns {
-		if c.x == nil && !c.begun {
-			v.Loop.Start(&c.timer, drainQuiet)
+		if c.exchange == nil && !c.headStarted {
+			v.Loop.Start(&c.timer, drainIdleTimeout)
 		}
 	}
 }
@@ -119,21 +119,21 @@
 func (v *Server) Close() {
 	v.listener.Close()
 	for c := range v.conns {
-		if c.x != nil {
-			v.Service.ClientGone(c.x)
+		if c.exchange != nil {
+			v.Service.ClientGone(c.exchange)
 		}
-		c.conn.Abort()
-		c.over()
+		c.tcp.Abort()
+		c.release()
 	}
 }
 
 func (v *Server) accept(conn *eventloop.Conn) eventloop.Handler {
-	c := &serverConn{v: v, conn: conn, parser: httpcodec.Parser{Limits: v.opt.Limits}}
-	c.timer.Fire = c.expired
+	c := &serverConn{server: v, tcp: conn, parser: httpcodec.Parser{Limits: v.options.Limits}}
+	c.timer.Fire = c.onTimeout
 	v.conns[c] = struct{}{}
-	span := v.opt.HeadTimeout
+	span := v.options.HeadTimeout
 	if v.draining {
-		span = math.Min(span, drainHead)
+		span = math.Min(span, drainHeadTimeout)
 	}
 	v.Loop.Start(&c.timer, span)
 	return c
@@ -141,101 +141,101 @@
 
 // serverConn is one connection; it has an exchange only while a request is in flight.
 type serverConn struct {
-	v      *Server
-	conn   *eventloop.Conn
-	parser httpcodec.Parser
-	timer  eventloop.Timer
-	x      *Exchange
-	begun  bool // part of a head has come in
-	inData bool
+	server      *Server
+	tcp         *eventloop.Conn
+	parser      httpcodec.Parser
+	timer       eventloop.Timer
+	exchange    *Exchange
+	headStarted bool // part of a head has come in
+	receiving   bool
 }
 
 func (c *serverConn) Connected(*eventloop.Conn) {}
 
 func (c *serverConn) Closed(_ *eventloop.Conn, _ error) {
-	x := c.x
+	x := c.exchange
 	if x != nil {
-		c.v.Service.ClientGone(x)
+		c.server.Service.ClientGone(x)
 	}
-	c.over()
+	c.release()
 }
 
-// over lets go of a connection that has ended.
-func (c *serverConn) over() {
-	if c.x != nil {
-		c.v.put(c.x)
-		c.x = nil
+// release lets go of a connection that has ended.
+func (c *serverConn) release() {
+	if c.exchange != nil {
+		c.server.releaseExchange(c.exchange)
+		c.exchange = nil
 	}
-	c.v.Loop.Cancel(&c.timer)
-	delete(c.v.conns, c)
+	c.server.Loop.Cancel(&c.timer)
+	delete(c.server.conns, c)
 }
 
 func (c *serverConn) Flushed(*eventloop.Conn) {
-	if x := c.x; x != nil && x.drained {
-		x.drained = false
-		c.v.Service.StreamWritable(x)
+	if x := c.exchange; x != nil && x.streamBlocked {
+		x.streamBlocked = false
+		c.server.Service.StreamWritable(x)
 	}
 }
 
-// expired ends a connection that is idle for too long, or a request that trickles.
-func (c *serverConn) expired() {
-	switch x := c.x; {
-	case x == nil && !c.begun:
-		if c.conn.ReadNow(); c.x != nil || c.begun || !c.conn.Open() { // what lies unread came in time
+// onTimeout ends a connection that is idle for too long, or a request that trickles.
+func (c *serverConn) onTimeout() {
+	switch x := c.exchange; {
+	case x == nil && !c.headStarted:
+		if c.tcp.ReadNow(); c.exchange != nil || c.headStarted || !c.tcp.Open() { // what lies unread came in time
 			return
 		}
-		c.conn.CloseFlushed()
-		c.over()
+		c.tcp.CloseFlushed()
+		c.release()
 	case x == nil:
-		c.refuse(&httpcodec.Error{Status: 408, Reason: "the head did not come in whole in time"})
-	case !x.whole:
-		c.refuse(&httpcodec.Error{Status: 408, Reason: "the body stalled"})
-	case x.stream: // the peer reads nothing
-		c.v.Service.ClientGone(x)
-		c.conn.Abort()
-		c.over()
+		c.reject(&httpcodec.Error{Status: 408, Reason: "the head did not come in whole in time"})
+	case !x.requestComplete:
+		c.reject(&httpcodec.Error{Status: 408, Reason: "the body stalled"})
+	case x.streaming: // the peer reads nothing
+		c.server.Service.ClientGone(x)
+		c.tcp.Abort()
+		c.release()
 	}
 }
 
-// refuse answers a message that is not taken, and ends the connection.
-func (c *serverConn) refuse(e *httpcodec.Error) {
-	c.v.Service.RequestRefused(e)
-	x := c.x
+// reject answers a message that is not taken, and ends the connection.
+func (c *serverConn) reject(e *httpcodec.Error) {
+	c.server.Service.RequestRefused(e)
+	x := c.exchange
 	if x == nil {
-		x = c.take()
+		x = c.newExchange()
 	}
-	x.close = true
+	x.closeAfter = true
 	x.Problem(e.Status, e.Reason)
 }
 
-func (c *serverConn) take() *Exchange {
+func (c *serverConn) newExchange() *Exchange {
 	var x *Exchange
-	if n := len(c.v.free); n > 0 {
-		x, c.v.free = c.v.free[n-1], c.v.free[:n-1]
+	if n := len(c.server.freeExchanges); n > 0 {
+		x, c.server.freeExchanges = c.server.freeExchanges[n-1], c.server.freeExchanges[:n-1]
 	} else {
 		x = new(Exchange)
 	}
-	x.c, c.x, x.Peer = c, x, c.conn.Peer()
+	x.conn, c.exchange, x.Peer = c, x, c.tcp.Peer()
 	return x
 }
 
-func (v *Server) put(x *Exchange) {
-	v.opt.Budget.Used -= x.booked
-	headers, head, body := x.Head.Headers[:0], x.head[:0], x.Body[:0]
+func (v *Server) releaseExchange(x *Exchange) {
+	v.options.Budget.Used -= x.reservedBytes
+	headers, head, body := x.Head.Headers[:0], x.headBytes[:0], x.Body[:0]
 	if cap(body) > 64<<10 {
 		body = nil
 	}
-	*x = Exchange{head: head, Body: body}
+	*x = Exchange{headBytes: head, Body: body}
 	x.Head.Headers = headers
-	v.free = append(v.free, x)
+	v.freeExchanges = append(v.freeExchanges, x)
 }
 
 func (c *serverConn) Received(_ *eventloop.Conn, b []byte) int {
 	used := 0
-	c.inData = true
-	defer func() { c.inData = false }()
-	for c.conn.Open() {
-		if c.x == nil {
+	c.receiving = true
+	defer func() { c.receiving = false }()
+	for c.tcp.Open() {
+		if c.exchange == nil {
 			if used == len(b) {
 				break
 			}
@@ -246,9 +246,9 @@
 			}
 			continue
 		}
-		if c.x.whole { // pipelined: it waits until this one is answered
-			if len(b)-used > c.v.opt.Limits.Head {
-				c.conn.Pause()
+		if c.exchange.requestComplete { // pipelined: it waits until this one is answered
+			if len(b)-used > c.server.options.Limits.Head {
+				c.tcp.Pause()
 			}
 			break
 		}
@@ -263,77 +263,77 @@
 
 // readHead returns how many bytes it used, and whether to go on.
 func (c *serverConn) readHead(b []byte) (int, bool) {
-	x := c.take()
+	x := c.newExchange()
 	n, err := c.parser.ParseRequest(b, &x.Head)
 	if err != nil {
-		c.refuse(err.(*httpcodec.Error))
+		c.reject(err.(*httpcodec.Error))
 		return len(b), false
 	}
 	if n == 0 {
-		c.v.put(x)
-		c.x = nil
-		if !c.begun {
-			c.begun = true
-			c.v.Loop.Start(&c.timer, c.v.opt.HeadTimeout)
+		c.server.releaseExchange(x)
+		c.exchange = nil
+		if !c.headStarted {
+			c.headStarted = true
+			c.server.Loop.Start(&c.timer, c.server.options.HeadTimeout)
 		}
 		return 0, false
 	}
-	c.begun = false
+	c.headStarted = false
 	old := b[:n]
-	x.head = append(x.head[:0], old...)
-	rebase(&x.Head, old, x.head)
-	x.decoder.ResetRequest(&x.Head, c.v.opt.Limits)
+	x.headBytes = append(x.headBytes[:0], old...)
+	rebaseHead(&x.Head, old, x.headBytes)
+	x.decoder.ResetRequest(&x.Head, c.server.options.Limits)
 	x.headOnly = httpcodec.EqualsLower(x.Head.Method, "head")
-	x.close = x.Head.Close || c.v.draining
-	if c.v.Service.HeadReceived(x) {
-		if c.x == x { // answered; the body was never read, so the connection cannot go on
-			c.fault()
+	x.closeAfter = x.Head.Close || c.server.draining
+	if c.server.Service.HeadReceived(x) {
+		if c.exchange == x { // answered; the body was never read, so the connection cannot go on
+			c.rejectUnanswered()
 		}
-		return n, c.x == nil && c.conn.Open()
+		return n, c.exchange == nil && c.tcp.Open()
 	}
-	if x.Head.Length > 0 && !x.book(x.Head.Length) {
-		c.refuse(&httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"})
+	if x.Head.Length > 0 && !x.reserve(x.Head.Length) {
+		c.reject(&httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"})
 		return len(b), false
 	}
 	if x.Head.Expect && !x.decoder.Done() {
-		c.conn.Write(continue100)
+		c.tcp.Write(continue100)
 	}
-	c.v.Loop.Start(&c.timer, c.v.opt.BodyTimeout)
+	c.server.Loop.Start(&c.timer, c.server.options.BodyTimeout)
 	return n, true
 }
 
 var continue100 = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// fault guards against a service that claims an answer it has not given.
-func (c *serverConn) fault() { c.refuse(&httpcodec.Error{Status: 500, Reason: "no answer"}) }
+// rejectUnanswered guards against a service that claims an answer it has not given.
+func (c *serverConn) rejectUnanswered() { c.reject(&httpcodec.Error{Status: 500, Reason: "no answer"}) }
 
 func (c *serverConn) readBody(b []byte) (int, bool) {
-	x, used := c.x, 0
+	x, used := c.exchange, 0
 	for !x.decoder.Done() {
 		data, n, err := x.decoder.Next(b[used:])
 		if err != nil {
-			c.refuse(err.(*httpcodec.Error))
+			c.reject(err.(*httpcodec.Error))
 			return len(b), false
 		}
-		if x.Head.Chunked && !x.book(int64(len(data))) {
-			c.refuse(&httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"})
+		if x.Head.Chunked && !x.reserve(int64(len(data))) {
+			c.reject(&httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"})
 			return len(b), false
 		}
 		x.Body = append(x.Body, data...)
 		used += n
 		if n == 0 {
-			c.v.Loop.Start(&c.timer, c.v.opt.BodyTimeout)
+			c.server.Loop.Start(&c.timer, c.server.options.BodyTimeout)
 			return used, false
 		}
 	}
-	x.whole = true
-	c.v.Loop.Cancel(&c.timer)
-	c.v.Service.RequestReceived(x)
+	x.requestComplete = true
+	c.server.Loop.Cancel(&c.timer)
+	c.server.Service.RequestReceived(x)
 	return used, true
 }
 
-// rebase lets the slices of a head point into a copy of the bytes they were parsed from.
-func rebase(h *httpcodec.Head, old, now []byte) {
+// rebaseHead lets the slices of a head point into a copy of the bytes they were parsed from.
+func rebaseHead(h *httpcodec.Head, old, now []byte) {
 	at := func(s []byte) []byte {
 		if len(s) == 0 {
 			return nil
