--- a/internal/httpconn/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -8,94 +8,112 @@
 	"mastchute/internal/rules"
 )
 
-// clientConn is one connection to the peer; it carries one call at a time.
+// bodyPieceBytes is the size of the pieces in which a request's body is written to the connection, so that no second copy
+// of a long body is held in memory.
+const bodyPieceBytes = 128 << 10
+
+// clientConn is one connection of a Pool. It carries one call at a time. It implements eventloop.Handler and
+// eventloop.WriteInterceptor.
 type clientConn struct {
 	pool         *Pool
 	tcp          *eventloop.Conn
-	call         *Call
+	call         *Call // nil while idle
 	parser       httpcodec.Parser
 	head         httpcodec.Head
 	body         httpcodec.Body
-	timer        eventloop.Timer
-	headReceived bool
-	hasCarried   bool // it has carried a call
+	timer        eventloop.Timer // idle timeout
+	headReceived bool            // the head of the response to call
+	hasCarried   bool            // a call has been sent on it
 }
 
+// closeIdle closes the connection if it is idle.
 func (c *clientConn) closeIdle() {
-	for i, o := range c.pool.idle {
-		if o == c {
-			c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
-			c.close()
-			return
-		}
+	if c.pool.removeIdle(c) {
+		c.close()
 	}
 }
 
+// close closes the connection. The caller removes it from the idle ones.
 func (c *clientConn) close() {
+	c.forget()
+	c.tcp.Close()
+}
+
+// forget removes the connection from the pool's count.
+func (c *clientConn) forget() {
 	c.pool.Loop.Cancel(&c.timer)
 	delete(c.pool.conns, c)
-	c.tcp.Close()
 }
 
-// carry sends a call, unless it waited for too long.
+// carry sends a call on the connection, or ends it with ErrNotSent if it has waited for too long.
 func (c *clientConn) carry(call *Call) {
-	if !c.refreshHead(call) {
-		c.call, call.conn = nil, nil
-		c.pool.failSoon(call)
-		c.pool.serveNext(c)
+	if c.refreshHead(call) {
+		c.send(call)
 		return
 	}
-	c.send(call)
+	c.call = nil
+	call.conn = nil
+	c.pool.failSoon(call)
+	c.pool.serveNext(c)
 }
 
-// refreshHead has a call that waited written anew, and tells whether it may be sent.
+// refreshHead has the head of a call that has waited for too long rewritten, and reports whether the call may be sent.
 func (c *clientConn) refreshHead(call *Call) bool {
 	now := c.pool.Loop.Clock()
 	if call.SendDeadline > 0 && now > call.SendDeadline {
 		return false
 	}
-	r, ok := call.Handler.(HeadRewriter)
+	rewriter, ok := call.Handler.(HeadRewriter)
 	if !ok || now-call.headBuiltAt <= rules.MaxDeadlineAge {
 		return true
 	}
-	head, ok := r.RewriteHead()
-	call.head, call.headBuiltAt = head, now
+	call.head, ok = rewriter.RewriteHead()
+	call.headBuiltAt = now
 	return ok
 }
 
-// BeforeWrite implements eventloop.WriteInterceptor: a request that waited, with none of it gone, is looked at once more.
-func (c *clientConn) BeforeWrite(conn *eventloop.Conn) {
+// BeforeWrite implements eventloop.WriteInterceptor. A request that has waited in the connection, with none of it sent, is
+// checked once more: its head is rewritten, or the request is withdrawn.
+func (c *clientConn) BeforeWrite(tcp *eventloop.Conn) {
 	call := c.call
-	if call == nil || call.SentAt == 0 || conn.SentBytes() > call.startOffset || c.pool.Loop.Clock()-call.headBuiltAt <= rules.MaxDeadlineAge {
+	if call == nil || call.SentAt == 0 || tcp.SentBytes() > call.startOffset {
+		return
+	}
+	if c.pool.Loop.Clock()-call.headBuiltAt <= rules.MaxDeadlineAge {
 		return
 	}
-	if conn.Unwrite(call.startOffset, conn.WrittenBytes()) {
+	if tcp.Unwrite(call.startOffset, tcp.WrittenBytes()) {
 		call.unwrittenBody = call.fullBody
 		c.carry(call)
 	}
 }
 
 func (c *clientConn) send(call *Call) {
-	c.call, call.conn, c.headReceived, c.hasCarried = call, c, false, true
-	call.startOffset, call.SentAt = c.tcp.WrittenBytes(), c.pool.Loop.Now()
+	c.call = call
+	c.headReceived = false
+	c.hasCarried = true
+	call.conn = c
+	call.startOffset = c.tcp.WrittenBytes()
+	call.SentAt = c.pool.Loop.Now()
 	c.tcp.Write(call.head)
 	c.writeBodyPiece()
 }
 
-// bodyPieceBytes is how much of a request's body is handed to the connection at a time, so that long ones are not held twice.
-const bodyPieceBytes = 128 << 10
-
-// writeBodyPiece writes the next piece of the request's body.
+// writeBodyPiece writes the next piece of the request's body, if any.
 func (c *clientConn) writeBodyPiece() {
-	if call := c.call; len(call.unwrittenBody) > 0 {
-		n := min(len(call.unwrittenBody), bodyPieceBytes)
-		c.tcp.Write(call.unwrittenBody[:n])
-		if call.unwrittenBody = call.unwrittenBody[n:]; len(call.unwrittenBody) > 0 {
-			c.tcp.NotifyFlushed()
-		}
+	call := c.call
+	if len(call.unwrittenBody) == 0 {
+		return
+	}
+	n := min(len(call.unwrittenBody), bodyPieceBytes)
+	c.tcp.Write(call.unwrittenBody[:n])
+	call.unwrittenBody = call.unwrittenBody[n:]
+	if len(call.unwrittenBody) > 0 {
+		c.tcp.NotifyFlushed()
 	}
 }
 
+// Connected implements eventloop.Handler.
 func (c *clientConn) Connected(*eventloop.Conn) {
 	if c.call != nil {
 		c.carry(c.call)
@@ -104,108 +122,55 @@
 	}
 }
 
+// Flushed implements eventloop.Handler.
 func (c *clientConn) Flushed(*eventloop.Conn) {
 	if c.call != nil {
 		c.writeBodyPiece()
 	}
 }
 
+// Closed implements eventloop.Handler.
 func (c *clientConn) Closed(_ *eventloop.Conn, err error) {
-	c.pool.Loop.Cancel(&c.timer)
-	delete(c.pool.conns, c)
-	if c.call == nil {
-		for i, o := range c.pool.idle {
-			if o == c {
-				c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
-				break
-			}
-		}
-		if c.pool.options.OnConnectionLost != nil && c.hasCarried {
-			c.pool.options.OnConnectionLost()
+	c.forget()
+	call := c.call
+	if call == nil {
+		c.pool.removeIdle(c)
+		if c.hasCarried {
+			c.notifyLost()
 		}
 		return
 	}
-	if err == io.EOF && c.headReceived && c.body.ReadsUntilClose() {
-		err = nil
-	} else if c.headReceived {
-		err = ErrTruncated
+	if c.headReceived {
+		complete := err == io.EOF && c.body.ReadsUntilClose()
+		if complete {
+			err = nil
+		} else {
+			err = ErrTruncated
+		}
 	}
-	call := c.call
 	c.call = nil
 	c.detach(call)
-	wrote := call.anyByteSent
+	anyByteSent := call.anyByteSent // before ResponseDone, which may use the call again
 	call.Handler.ResponseDone(err)
-	if err != nil && wrote && c.pool.options.OnConnectionLost != nil {
-		c.pool.options.OnConnectionLost()
+	if err != nil && anyByteSent {
+		c.notifyLost()
 	}
 	c.pool.serveNext(nil)
 }
 
-func (c *clientConn) Received(conn *eventloop.Conn, b []byte) int {
-	used := 0
-	for c.call != nil && conn.Open() {
-		if !c.headReceived {
-			n, err := c.parser.ParseResponse(b[used:], &c.head)
-			if err != nil {
-				c.fail(ErrMalformedResponse)
-				return len(b)
-			}
-			if n == 0 {
-				return used
-			}
-			used += n
-			if c.head.Status < 200 {
-				continue
-			}
-			c.headReceived = true
-			c.body.ResetResponse(&c.head, c.call.HEAD)
-			call := c.call
-			call.Handler.ResponseHead(&c.head)
-			if c.call != call {
-				return used
-			}
-		}
-		call := c.call
-		for !c.body.Done() {
-			data, n, err := c.body.Next(b[used:])
-			if err != nil {
-				c.fail(ErrMalformedResponse)
-				return len(b)
-			}
-			used += n
-			if len(data) > 0 {
-				if call.Handler.ResponseBody(data); c.call != call {
-					return used
-				}
-			}
-			if n == 0 || c.body.ReadsUntilClose() {
-				return used
-			}
-		}
-		// Whole. What stands behind it, or a request not wholly sent, spoils the connection for others.
-		reuse := !c.head.Close && used == len(b) && conn.UnsentBytes() == 0 && len(call.unwrittenBody) == 0
-		c.call = nil
-		c.detach(call)
-		call.Handler.ResponseDone(nil)
-		if reuse {
-			c.pool.serveNext(c)
-		} else {
-			c.close()
-			c.pool.serveNext(nil)
-		}
-		return used
-	}
-	if c.call == nil && conn.Open() && len(b) > used { // unasked bytes
-		c.closeIdle()
+func (c *clientConn) notifyLost() {
+	if c.pool.options.OnConnectionLost != nil {
+		c.pool.options.OnConnectionLost()
 	}
-	return len(b)
 }
 
-// detach parts a call that ends from its connection, which may go on with others.
+// detach separates a call that ends from its connection, which may carry others afterwards.
 func (c *clientConn) detach(call *Call) {
-	call.anyByteSent, call.conn = call.AnyByteSent(), nil
+	call.anyByteSent = call.AnyByteSent()
+	call.conn = nil
 }
 
+// fail ends the call and the connection.
 func (c *clientConn) fail(err error) {
 	call := c.call
 	c.call = nil
--- /dev/null
+++ b/internal/httpconn/client_response.go
@@ -0,0 +1,87 @@
+package httpconn
+
+import "mastchute/internal/eventloop"
+
+// Received implements eventloop.Handler.
+func (c *clientConn) Received(tcp *eventloop.Conn, b []byte) (used int) {
+	if c.call == nil || !tcp.Open() {
+		if c.call == nil && tcp.Open() && len(b) > 0 { // bytes that answer no request
+			c.closeIdle()
+		}
+		return len(b)
+	}
+	if !c.headReceived {
+		n, proceed := c.readHead(b)
+		if !proceed {
+			return n
+		}
+		used = n
+	}
+	return used + c.readBody(b[used:])
+}
+
+// readHead parses the head of the response from the start of b, skipping interim (1xx) responses. It returns the number
+// of bytes it consumed, and whether to continue with the body.
+func (c *clientConn) readHead(b []byte) (used int, proceed bool) {
+	for {
+		n, err := c.parser.ParseResponse(b[used:], &c.head)
+		if err != nil {
+			c.fail(ErrMalformedResponse)
+			return len(b), false
+		}
+		if n == 0 {
+			return used, false
+		}
+		used += n
+		if c.head.Status >= 200 {
+			break
+		}
+	}
+	call := c.call
+	c.headReceived = true
+	c.body.ResetResponse(&c.head, call.HEAD)
+	call.Handler.ResponseHead(&c.head)
+	return used, c.call == call
+}
+
+// readBody decodes the body of the response from b, and ends the call when it is complete. It returns the number of bytes
+// it consumed.
+func (c *clientConn) readBody(b []byte) (used int) {
+	call := c.call
+	for !c.body.Done() {
+		data, n, err := c.body.Next(b[used:])
+		if err != nil {
+			c.fail(ErrMalformedResponse)
+			return len(b)
+		}
+		used += n
+		if len(data) > 0 {
+			call.Handler.ResponseBody(data)
+			if c.call != call { // cancelled
+				return used
+			}
+		}
+		if n == 0 || c.body.ReadsUntilClose() {
+			return used
+		}
+	}
+	c.finishCall(used < len(b))
+	return used
+}
+
+// finishCall ends a call whose response is complete. The connection is used again unless the peer closes it, has sent
+// bytes beyond the response, or has not received the whole request.
+func (c *clientConn) finishCall(unexpectedBytes bool) {
+	call := c.call
+	requestSent := c.tcp.UnsentBytes() == 0 && len(call.unwrittenBody) == 0
+	reusable := !c.head.Close && !unexpectedBytes && requestSent
+	c.call = nil
+	c.detach(call)
+	call.Handler.ResponseDone(nil)
+	if reusable {
+		c.pool.serveNext(c)
+		return
+	}
+	c.close()
+	c.pool.serveNext(nil)
+}
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -6,28 +6,38 @@
 	"mastchute/internal/httpcodec"
 )
 
-// Exchange is one request and its answer. It is void once answered.
+const (
+	maxJoinedBody = 16 << 10 // bytes: bodies up to this size are written together with the head
+	maxKeptBuffer = 64 << 10 // bytes: larger buffers are left to the garbage collector
+)
+
+// Exchange is one request to a server and the response to it. It is owned by the server and must not be used once the
+// response is complete, or ClientGone has been called for it.
+//
+// A response is either StartResponse, header lines and FinishResponse, or StartResponse, header lines, StartStream, any
+// number of WriteStream and EndStream.
 type Exchange struct {
 	Head         httpcodec.Head
-	Body         []byte
-	ServiceState any // for the service
+	Body         []byte // complete when RequestReceived is called
+	ServiceState any    // for use by the service
 	Peer         netip.AddrPort
 
 	conn            *serverConn
-	headBytes       []byte
+	headBytes       []byte // Head points into it
 	decoder         httpcodec.Body
-	reservedBytes   int64
-	requestComplete bool // the request is complete
-	streaming       bool // the answer has begun and goes on
-	chunked         bool
-	headOnly        bool
-	closeAfter      bool // the connection ends after this answer
-	streamBlocked   bool // the service waits for room
+	reservedBytes   int64 // in the server's memory budget
+	requestComplete bool
+	streaming       bool // StartStream has been called
+	chunked         bool // the streamed response is
+	headOnly        bool // the request's method is HEAD
+	closeAfter      bool // the connection is closed after the response
+	streamBlocked   bool // the service waits for StreamWritable
 }
 
-// ReceivedAt is when the last bytes of the request came in, on the loop's clock.
+// ReceivedAt returns the estimated time, on the loop's clock, at which the last bytes of the request arrived.
 func (x *Exchange) ReceivedAt() float64 { return x.conn.tcp.ReceivedAt() }
 
+// reserve reserves memory for the request; it is returned when the exchange is released.
 func (x *Exchange) reserve(n int64) bool {
 	if !x.conn.server.options.Budget.Reserve(n) {
 		return false
@@ -36,12 +46,17 @@
 	return true
 }
 
-// StartResponse begins an answer: it returns bytes to append header lines to, for Finish or Stream.
+// StartResponse starts a response. It returns the beginning of its head, to which the service appends header lines before
+// it passes it to FinishResponse or StartStream. Only one response of a server may be in this state at a time.
 func (x *Exchange) StartResponse(status int) []byte {
 	b := httpcodec.AppendStatus(x.conn.server.scratch[:0], status)
-	x.closeAfter = x.closeAfter || !x.requestComplete && !x.decoder.Done() // a body not read would be taken for the next request
-	if x.closeAfter || x.conn.server.draining {
+	if !x.requestComplete && !x.decoder.Done() { // the unread body would be parsed as the next request
 		x.closeAfter = true
+	}
+	if x.conn.server.draining {
+		x.closeAfter = true
+	}
+	if x.closeAfter {
 		b = append(b, "Connection: close\r\n"...)
 	} else if x.Head.Minor == 0 {
 		b = append(b, "Connection: keep-alive\r\n"...)
@@ -49,54 +64,51 @@
 	return b
 }
 
-// FinishResponse ends the head with a length, and sends the body. x is void then.
-func (x *Exchange) FinishResponse(b []byte, body []byte) {
-	b = httpcodec.AppendLength(b, int64(len(body)))
-	b = append(b, "\r\n"...)
-	if !x.headOnly {
-		if len(body) <= 16<<10 {
-			b = append(b, body...)
-			body = nil
-		}
-	} else {
+// FinishResponse completes the head with the length of the body, and sends both. body may be reused afterwards; the
+// exchange must not.
+func (x *Exchange) FinishResponse(head []byte, body []byte) {
+	head = httpcodec.AppendLength(head, int64(len(body)))
+	head = append(head, "\r\n"...)
+	if x.headOnly {
+		body = nil
+	} else if len(body) <= maxJoinedBody {
+		head = append(head, body...)
 		body = nil
 	}
-	x.conn.tcp.Write(b)
+	x.conn.tcp.Write(head)
 	if len(body) > 0 {
 		x.conn.tcp.Write(body)
 	}
-	x.keepScratch(b)
+	x.keepScratch(head)
 	x.finish()
 }
 
-func (x *Exchange) keepScratch(b []byte) {
-	if cap(b) > cap(x.conn.server.scratch) && cap(b) <= 64<<10 {
-		x.conn.server.scratch = b[:0]
-	}
-}
-
-// StartStream ends the head and lets a body of the given length follow by Write and End; -1 means that it is not known.
-func (x *Exchange) StartStream(b []byte, length int64) {
-	if x.streaming = true; length >= 0 {
-		b = httpcodec.AppendLength(b, length)
-	} else if x.Head.Minor == 1 {
+// StartStream completes the head of a response whose body follows by WriteStream and EndStream. length is that of the
+// body, or -1 if it is not known.
+func (x *Exchange) StartStream(head []byte, length int64) {
+	x.streaming = true
+	switch {
+	case length >= 0:
+		head = httpcodec.AppendLength(head, length)
+	case x.Head.Minor == 1:
 		x.chunked = true
-		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	} else {
+		head = append(head, "Transfer-Encoding: chunked\r\n"...)
+	default: // HTTP/1.0: the body ends with the connection
 		x.closeAfter = true
 	}
-	x.conn.tcp.Write(append(b, "\r\n"...))
-	x.keepScratch(b)
-	x.conn.server.Loop.Start(&x.conn.timer, x.conn.server.options.BodyTimeout)
+	x.conn.tcp.Write(append(head, "\r\n"...))
+	x.keepScratch(head)
+	x.startBodyTimer()
 }
 
-// WriteStream sends a piece of a streamed body. It returns false when the sender should wait for Drained.
+// WriteStream sends a piece of a streamed body. It returns false if too much waits for the peer already: the service
+// should then not continue before StreamWritable is called.
 func (x *Exchange) WriteStream(data []byte) bool {
 	if !x.headOnly {
 		if x.chunked {
-			b := httpcodec.AppendChunk(x.conn.server.scratch[:0], data)
-			x.conn.tcp.Write(b)
-			x.keepScratch(b)
+			chunk := httpcodec.AppendChunk(x.conn.server.scratch[:0], data)
+			x.conn.tcp.Write(chunk)
+			x.keepScratch(chunk)
 		} else {
 			x.conn.tcp.Write(data)
 		}
@@ -105,11 +117,11 @@
 		x.streamBlocked = true
 		return false
 	}
-	x.conn.server.Loop.Start(&x.conn.timer, x.conn.server.options.BodyTimeout)
+	x.startBodyTimer()
 	return true
 }
 
-// EndStream ends a streamed answer. x is void then.
+// EndStream completes a streamed response. The exchange must not be used afterwards.
 func (x *Exchange) EndStream() {
 	if x.chunked && !x.headOnly {
 		x.conn.tcp.Write([]byte(httpcodec.LastChunk))
@@ -117,23 +129,41 @@
 	x.finish()
 }
 
-// AbortStream cuts a streamed answer off: the peer sees that it is not whole. x is void then.
+// AbortStream ends a streamed response by a reset of the connection, from which the peer sees that the response is not
+// complete. It has no effect on an exchange that has ended. The exchange must not be used afterwards.
 func (x *Exchange) AbortStream() {
 	c := x.conn
-	if c == nil { // it has ended by itself meanwhile
+	if c == nil {
 		return
 	}
 	c.tcp.Abort()
 	c.release()
 }
 
-// finish ends the exchange and goes on with the connection.
+// CloseAfter requests that the connection be closed after this response.
+func (x *Exchange) CloseAfter() { x.closeAfter = true }
+
+// UnsentBytes returns the number of bytes that wait for the peer.
+func (x *Exchange) UnsentBytes() int { return x.conn.tcp.UnsentBytes() }
+
+func (x *Exchange) startBodyTimer() {
+	x.conn.server.Loop.Start(&x.conn.timer, x.conn.server.options.BodyTimeout)
+}
+
+// keepScratch keeps a buffer that has grown out of the server's scratch buffer in its place.
+func (x *Exchange) keepScratch(b []byte) {
+	if cap(b) > cap(x.conn.server.scratch) && cap(b) <= maxKeptBuffer {
+		x.conn.server.scratch = b[:0]
+	}
+}
+
+// finish releases the exchange and continues with the connection.
 func (x *Exchange) finish() {
 	c := x.conn
-	closes := x.closeAfter
+	closing := x.closeAfter
 	c.exchange = nil
 	c.server.releaseExchange(x)
-	if closes {
+	if closing {
 		c.tcp.CloseFlushed()
 		c.release()
 		return
@@ -144,28 +174,3 @@
 		c.tcp.Redeliver()
 	}
 }
-
-// Problem answers with an RFC 9457 problem, which is for refusals and errors.
-func (x *Exchange) Problem(status int, detail string) {
-	x.FinishResponse(httpcodec.AppendHeader(x.StartResponse(status), "Content-Type", ProblemType), AppendProblem(nil, status, detail))
-}
-
-// ProblemType is the media type of an RFC 9457 problem.
-const ProblemType = "application/problem+json"
-
-// AppendProblem appends an RFC 9457 problem. detail is to need no escapes.
-func AppendProblem(b []byte, status int, detail string) []byte {
-	b = append(b, `{"type":"about:blank","title":"`...)
-	b = append(b, httpcodec.Reason(status)...)
-	b = append(b, `","status":`...)
-	b = append(b, byte('0'+status/100), byte('0'+status/10%10), byte('0'+status%10))
-	b = append(b, `,"detail":"`...)
-	b = append(b, detail...)
-	return append(b, "\"}\n"...)
-}
-
-// CloseAfter lets the connection end after this answer.
-func (x *Exchange) CloseAfter() { x.closeAfter = true }
-
-// UnsentBytes is how many bytes of the answer wait for the peer.
-func (x *Exchange) UnsentBytes() int { return x.conn.tcp.UnsentBytes() }
--- /dev/null
+++ b/internal/httpconn/pool.go
@@ -0,0 +1,196 @@
+package httpconn
+
+import (
+	"net/netip"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+)
+
+// responseLimits bound the heads of responses.
+var responseLimits = httpcodec.Limits{Line: 8 << 10, Head: 64 << 10, Headers: 200}
+
+// PoolOptions bound a pool of connections to one peer; zero values select the defaults.
+type PoolOptions struct {
+	MaxConnections   int     // connections at a time; default 256
+	MaxIdle          int     // idle connections kept; default 64
+	IdleTimeout      float64 // s that an idle connection is kept; default 15
+	ConnectTimeout   float64 // s to establish a connection; default 0.25
+	OnConnectionLost func()  // called when the peer has ended a connection that has carried a call; may be nil
+}
+
+func (o PoolOptions) withDefaults() PoolOptions {
+	if o.MaxConnections <= 0 {
+		o.MaxConnections = 256
+	}
+	if o.MaxIdle <= 0 {
+		o.MaxIdle = 64
+	}
+	if o.IdleTimeout <= 0 {
+		o.IdleTimeout = 15
+	}
+	if o.ConnectTimeout <= 0 {
+		o.ConnectTimeout = 0.25
+	}
+	return o
+}
+
+// Pool is a pool of client connections to one peer. A connection carries one call at a time; calls beyond MaxConnections
+// are queued.
+type Pool struct {
+	Loop *eventloop.Loop
+	Addr netip.AddrPort
+
+	options    PoolOptions
+	conns      map[*clientConn]struct{} // all of them
+	idle       []*clientConn            // the most recently used one is the last, and the next to be used
+	queue      []*Call                  // the first queueStart entries have been removed
+	queueStart int
+	closed     bool
+}
+
+// NewPool returns a pool without connections; they are opened as calls need them.
+func NewPool(l *eventloop.Loop, addr netip.AddrPort, options PoolOptions) *Pool {
+	return &Pool{Loop: l, Addr: addr, options: options.withDefaults(), conns: map[*clientConn]struct{}{}}
+}
+
+// ConnectionCount returns the number of connections, idle ones included.
+func (p *Pool) ConnectionCount() int { return len(p.conns) }
+
+// QueuedCount returns the number of calls that wait for a connection.
+func (p *Pool) QueuedCount() int { return len(p.queue) - p.queueStart }
+
+// Do sends a request. head is the complete head with the empty line that ends it. head and body must not be modified
+// until the call has ended or FullySent returns true.
+func (p *Pool) Do(c *Call, head, body []byte) {
+	c.reset(p, head, body)
+	if n := len(p.idle); n > 0 {
+		conn := p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.Loop.Cancel(&conn.timer)
+		conn.carry(c)
+		return
+	}
+	if len(p.conns) >= p.options.MaxConnections {
+		c.queued = true
+		p.queue = append(p.queue, c)
+		return
+	}
+	p.dial(c)
+}
+
+// dial opens a connection for a call.
+func (p *Pool) dial(c *Call) {
+	conn := &clientConn{pool: p, call: c, parser: httpcodec.Parser{Limits: responseLimits}}
+	conn.timer.Fire = conn.closeIdle
+	p.conns[conn] = struct{}{}
+	c.conn = conn
+	conn.tcp = p.Loop.Dial(p.Addr, p.options.ConnectTimeout, conn)
+}
+
+// serveNext starts the next queued call: on conn, whose call has ended, or, if conn is nil, on a new connection in place
+// of one that has ended. Without a queued call conn becomes idle.
+func (p *Pool) serveNext(conn *clientConn) {
+	next := p.dequeue()
+	switch {
+	case next == nil && conn == nil:
+	case next == nil:
+		p.keepIdle(conn)
+	case conn == nil:
+		p.dial(next)
+	default:
+		conn.carry(next)
+	}
+}
+
+// dequeue removes and returns the first queued call, or returns nil if there is none. The removed entries at the front of
+// the queue are dropped once they are half of it.
+func (p *Pool) dequeue() *Call {
+	if p.QueuedCount() == 0 {
+		return nil
+	}
+	c := p.queue[p.queueStart]
+	p.queue[p.queueStart] = nil
+	p.queueStart++
+	if 2*p.queueStart >= len(p.queue) {
+		n := copy(p.queue, p.queue[p.queueStart:])
+		clear(p.queue[n:])
+		p.queue = p.queue[:n]
+		p.queueStart = 0
+	}
+	c.queued = false
+	return c
+}
+
+// unqueue removes a call from the queue.
+func (p *Pool) unqueue(c *Call) {
+	for i := p.queueStart; i < len(p.queue); i++ {
+		if p.queue[i] == c {
+			p.queue = append(p.queue[:i], p.queue[i+1:]...)
+			break
+		}
+	}
+	c.queued = false
+}
+
+// keepIdle keeps a connection for later calls, or closes it if there are enough.
+func (p *Pool) keepIdle(conn *clientConn) {
+	if len(p.idle) >= p.options.MaxIdle || p.closed {
+		conn.close()
+		return
+	}
+	p.idle = append(p.idle, conn)
+	p.Loop.Start(&conn.timer, p.options.IdleTimeout)
+}
+
+// removeIdle removes a connection from the idle ones, and reports whether it was one of them.
+func (p *Pool) removeIdle(conn *clientConn) bool {
+	for i, idle := range p.idle {
+		if idle == conn {
+			p.idle = append(p.idle[:i], p.idle[i+1:]...)
+			return true
+		}
+	}
+	return false
+}
+
+// CloseIdle closes the idle connections.
+func (p *Pool) CloseIdle() {
+	for _, conn := range p.idle {
+		conn.close()
+	}
+	p.idle = p.idle[:0]
+}
+
+// Close closes the idle connections, and each of the others after its call.
+func (p *Pool) Close() {
+	p.closed = true
+	p.CloseIdle()
+}
+
+// FailUnsent ends every call of which nothing can have been sent: those that wait for a connection, and those whose
+// connection is not established. ResponseDone is called for each with ErrNotSent, after FailUnsent has returned.
+func (p *Pool) FailUnsent() {
+	calls := append([]*Call(nil), p.queue[p.queueStart:]...)
+	for conn := range p.conns {
+		if conn.call != nil && !conn.tcp.Established() {
+			calls = append(calls, conn.call)
+		}
+	}
+	for _, c := range calls {
+		c.Cancel()
+		p.failSoon(c)
+	}
+}
+
+// failSoon ends a call that has no connection with ErrNotSent, once the current event has been handled, unless the call is
+// cancelled or used again before.
+func (p *Pool) failSoon(c *Call) {
+	c.failing = true
+	p.Loop.Defer(func() {
+		if c.failing {
+			c.failing = false
+			c.Handler.ResponseDone(ErrNotSent)
+		}
+	})
+}
--- /dev/null
+++ b/internal/httpconn/problem.go
@@ -0,0 +1,25 @@
+package httpconn
+
+import "mastchute/internal/httpcodec"
+
+// ProblemType is the media type of an RFC 9457 problem.
+const ProblemType = "application/problem+json"
+
+// Problem responds with an RFC 9457 problem, the form of all rejections and errors. detail must not need escaping in
+// JSON. The exchange must not be used afterwards.
+func (x *Exchange) Problem(status int, detail string) {
+	head := x.StartResponse(status)
+	head = httpcodec.AppendHeader(head, "Content-Type", ProblemType)
+	x.FinishResponse(head, AppendProblem(nil, status, detail))
+}
+
+// AppendProblem appends an RFC 9457 problem to b. detail must not need escaping in JSON.
+func AppendProblem(b []byte, status int, detail string) []byte {
+	b = append(b, `{"type":"about:blank","title":"`...)
+	b = append(b, httpcodec.Reason(status)...)
+	b = append(b, `","status":`...)
+	b = append(b, byte('0'+status/100), byte('0'+status/10%10), byte('0'+status%10))
+	b = append(b, `,"detail":"`...)
+	b = append(b, detail...)
+	return append(b, "\"}\n"...)
+}
--- /dev/null
+++ b/internal/httpconn/server_conn.go
@@ -0,0 +1,143 @@
+package httpconn
+
+import (
+	"math"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+)
+
+// Rejections by the server itself. The reasons are sent to the client.
+var (
+	errHeadTimeout = &httpcodec.Error{Status: 408, Reason: "the head did not come in whole in time"}
+	errBodyTimeout = &httpcodec.Error{Status: 408, Reason: "the body stalled"}
+	errNoMemory    = &httpcodec.Error{Status: 503, Reason: "no memory left to hold the request"}
+	errNoResponse  = &httpcodec.Error{Status: 500, Reason: "no answer"}
+)
+
+// serverConn is one connection of a server. It has an exchange only while a request is in flight. It implements
+// eventloop.Handler.
+type serverConn struct {
+	server      *Server
+	tcp         *eventloop.Conn
+	parser      httpcodec.Parser
+	timer       eventloop.Timer // idle, head or body timeout
+	exchange    *Exchange
+	headStarted bool // part of a head has been received
+	receiving   bool // in Received, which continues with the next request by itself
+}
+
+// accept returns the handler of an accepted connection.
+func (s *Server) accept(tcp *eventloop.Conn) eventloop.Handler {
+	c := &serverConn{server: s, tcp: tcp, parser: httpcodec.Parser{Limits: s.options.Limits}}
+	c.timer.Fire = c.onTimeout
+	s.conns[c] = struct{}{}
+	timeout := s.options.HeadTimeout
+	if s.draining {
+		timeout = math.Min(timeout, drainHeadTimeout)
+	}
+	s.Loop.Start(&c.timer, timeout)
+	return c
+}
+
+// isIdle reports whether no request is in flight and no byte of the next has been received.
+func (c *serverConn) isIdle() bool { return c.exchange == nil && !c.headStarted }
+
+// Connected implements eventloop.Handler; accepted connections are connected from the start.
+func (c *serverConn) Connected(*eventloop.Conn) {}
+
+// Closed implements eventloop.Handler.
+func (c *serverConn) Closed(*eventloop.Conn, error) {
+	if c.exchange != nil {
+		c.server.Service.ClientGone(c.exchange)
+	}
+	c.release()
+}
+
+// Flushed implements eventloop.Handler.
+func (c *serverConn) Flushed(*eventloop.Conn) {
+	x := c.exchange
+	if x != nil && x.streamBlocked {
+		x.streamBlocked = false
+		c.server.Service.StreamWritable(x)
+	}
+}
+
+// release forgets a connection that has ended.
+func (c *serverConn) release() {
+	if c.exchange != nil {
+		c.server.releaseExchange(c.exchange)
+		c.exchange = nil
+	}
+	c.server.Loop.Cancel(&c.timer)
+	delete(c.server.conns, c)
+}
+
+// onTimeout ends a connection that has been idle for too long, whose request does not arrive, or whose peer does not
+// read a streamed response.
+func (c *serverConn) onTimeout() {
+	x := c.exchange
+	switch {
+	case c.isIdle():
+		c.closeIdle()
+	case x == nil:
+		c.reject(errHeadTimeout)
+	case !x.requestComplete:
+		c.reject(errBodyTimeout)
+	case x.streaming:
+		c.server.Service.ClientGone(x)
+		c.tcp.Abort()
+		c.release()
+	}
+}
+
+// closeIdle closes an idle connection, unless a request has arrived in time that has not been read yet.
+func (c *serverConn) closeIdle() {
+	c.tcp.ReadNow()
+	if !c.isIdle() || !c.tcp.Open() {
+		return
+	}
+	c.tcp.CloseFlushed()
+	c.release()
+}
+
+// reject responds to a message that is not accepted, and closes the connection.
+func (c *serverConn) reject(e *httpcodec.Error) {
+	c.server.Service.RequestRefused(e)
+	x := c.exchange
+	if x == nil {
+		x = c.newExchange()
+	}
+	x.closeAfter = true
+	x.Problem(e.Status, e.Reason)
+}
+
+// newExchange makes an exchange the current one, reusing a released one if possible.
+func (c *serverConn) newExchange() *Exchange {
+	s := c.server
+	var x *Exchange
+	if n := len(s.freeExchanges); n > 0 {
+		x = s.freeExchanges[n-1]
+		s.freeExchanges = s.freeExchanges[:n-1]
+	} else {
+		x = new(Exchange)
+	}
+	x.conn = c
+	x.Peer = c.tcp.Peer()
+	c.exchange = x
+	return x
+}
+
+// releaseExchange returns the memory that an exchange has reserved, and keeps the exchange and its buffers for reuse.
+func (s *Server) releaseExchange(x *Exchange) {
+	s.options.Budget.Used -= x.reservedBytes
+	headers := x.Head.Headers[:0]
+	headBytes := x.headBytes[:0]
+	body := x.Body[:0]
+	if cap(body) > maxKeptBuffer {
+		body = nil
+	}
+	*x = Exchange{headBytes: headBytes, Body: body}
+	x.Head.Headers = headers
+	s.freeExchanges = append(s.freeExchanges, x)
+}
