--- /dev/null
+++ b/internal/httpcodec/headers.go
@@ -0,0 +1,151 @@
+package httpcodec
+
+import "bytes"
+
+// headerSummary is what the headers of one head add up to, beside the fields of Head.
+type headerSummary struct {
+	hosts           int  // Host lines
+	codings         int  // Transfer-Encoding lines
+	framingTrailers bool // Trailer announces a header that frames the message
+}
+
+// parseHeaders parses the header lines into h and interprets those that concern the framing and the connection.
+func (h *Head) parseHeaders(b []byte, limits Limits, isRequest bool) error {
+	h.Headers = h.Headers[:0]
+	h.Length = -1
+	h.Chunked = false
+	h.Expect = false
+	h.Close = h.Minor == 0
+	var summary headerSummary
+	for len(b) > 0 {
+		var line []byte
+		line, b = cutLine(b)
+		header, err := h.parseHeaderLine(line, limits)
+		if err != nil {
+			return err
+		}
+		h.Headers = append(h.Headers, header)
+		if err := h.interpretHeader(header, isRequest, &summary); err != nil {
+			return err
+		}
+	}
+	if isRequest {
+		return h.checkRequestFraming(summary, limits)
+	}
+	return h.checkFraming(summary)
+}
+
+func (h *Head) parseHeaderLine(line []byte, limits Limits) (Header, error) {
+	if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') {
+		return Header{}, ErrFoldedHeader
+	}
+	if len(h.Headers) >= limits.Headers {
+		return Header{}, ErrTooManyHeaders
+	}
+	colon := bytes.IndexByte(line, ':')
+	if colon < 0 || !isToken(line[:colon]) {
+		return Header{}, ErrInvalidHeaderName
+	}
+	value := trimSpace(line[colon+1:])
+	if containsControl(value) {
+		return Header{}, ErrInvalidHeaderValue
+	}
+	return Header{Name: line[:colon], Value: value}, nil
+}
+
+// interpretHeader updates h and summary from a header that concerns the framing or the connection. The switch on the
+// first letter keeps it cheap for all others.
+func (h *Head) interpretHeader(header Header, isRequest bool, summary *headerSummary) error {
+	name := header.Name
+	switch name[0] | 0x20 {
+	case 'c':
+		if EqualsLower(name, "content-length") {
+			return h.interpretContentLength(header.Value)
+		}
+		if EqualsLower(name, "connection") {
+			h.interpretConnection(header.Value)
+		}
+	case 't':
+		if EqualsLower(name, "transfer-encoding") {
+			return h.interpretTransferEncoding(header.Value, summary)
+		}
+		if EqualsLower(name, "trailer") && announcesFraming(header.Value) {
+			summary.framingTrailers = true
+		}
+	case 'h':
+		if isRequest && EqualsLower(name, "host") {
+			summary.hosts++
+			if summary.hosts > 1 || !isValidHost(header.Value) {
+				return ErrInvalidHost
+			}
+		}
+	case 'e':
+		if isRequest && EqualsLower(name, "expect") {
+			if !EqualsLower(header.Value, "100-continue") {
+				return ErrUnsupportedExpectation
+			}
+			h.Expect = h.Minor == 1
+		}
+	}
+	return nil
+}
+
+func (h *Head) interpretContentLength(value []byte) error {
+	if h.Length >= 0 {
+		return ErrInvalidContentLength
+	}
+	h.Length = parseDecimal(value)
+	if h.Length < 0 {
+		return ErrInvalidContentLength
+	}
+	return nil
+}
+
+func (h *Head) interpretTransferEncoding(value []byte, summary *headerSummary) error {
+	summary.codings++
+	if summary.codings > 1 || !EqualsLower(value, "chunked") {
+		return ErrUnsupportedTransferCoding
+	}
+	h.Chunked = true
+	return nil
+}
+
+func (h *Head) interpretConnection(value []byte) {
+	if listContainsLower(value, "close") {
+		h.Close = true
+	} else if h.Minor == 0 && listContainsLower(value, "keep-alive") {
+		h.Close = false
+	}
+}
+
+// announcesFraming reports whether a Trailer header announces a header that must not be a trailer, as it frames the
+// message.
+func announcesFraming(trailer []byte) bool {
+	return listContainsLower(trailer, "content-length") || listContainsLower(trailer, "transfer-encoding") || listContainsLower(trailer, "trailer")
+}
+
+// checkFraming checks what only the headers together show.
+func (h *Head) checkFraming(summary headerSummary) error {
+	switch {
+	case h.Chunked && h.Length >= 0:
+		return ErrConflictingFraming
+	case h.Chunked && h.Minor == 0:
+		return ErrTransferEncodingInHTTP10
+	case h.Chunked && summary.framingTrailers:
+		return ErrFramingTrailer
+	}
+	return nil
+}
+
+func (h *Head) checkRequestFraming(summary headerSummary, limits Limits) error {
+	if err := h.checkFraming(summary); err != nil {
+		return err
+	}
+	if h.Minor == 1 && summary.hosts != 1 {
+		return ErrInvalidHost
+	}
+	if h.Length > limits.Body {
+		return ErrBodyTooLarge
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/httpcodec/syntax.go
@@ -0,0 +1,134 @@
+package httpcodec
+
+import "bytes"
+
+var (
+	tokenChars = charTable("!#$%&'*+-.^_`|~")     // of a token of RFC 9110
+	hostChars  = charTable("!$%&'()*+,-.:;=[]_~") // of a Host header
+)
+
+// charTable returns a table of the ASCII letters and digits and some further characters.
+func charTable(further string) (table [256]bool) {
+	for c := '0'; c <= '9'; c++ {
+		table[c] = true
+	}
+	for c := 'a'; c <= 'z'; c++ {
+		table[c] = true
+		table[c-'a'+'A'] = true
+	}
+	for _, c := range further {
+		table[c] = true
+	}
+	return table
+}
+
+// isToken reports whether b is a token of RFC 9110; an empty one is not.
+func isToken(b []byte) bool {
+	for _, c := range b {
+		if !tokenChars[c] {
+			return false
+		}
+	}
+	return len(b) > 0
+}
+
+func isValidHost(b []byte) bool {
+	for _, c := range b {
+		if !hostChars[c] {
+			return false
+		}
+	}
+	return true
+}
+
+// containsControl reports whether b contains a control character other than a tab.
+func containsControl(b []byte) bool {
+	for _, c := range b {
+		if c < ' ' && c != '\t' || c == 0x7f {
+			return true
+		}
+	}
+	return false
+}
+
+func isDigit(c byte) bool { return '0' <= c && c <= '9' }
+
+func isHex(c byte) bool { return isDigit(c) || 'a' <= c|0x20 && c|0x20 <= 'f' }
+
+// maxDecimalDigits is the number of digits that cannot overflow an int64.
+const maxDecimalDigits = 18
+
+// parseDecimal returns the value of a number of digits only, or -1 if b is not one, or has more than maxDecimalDigits.
+func parseDecimal(b []byte) int64 {
+	if len(b) == 0 || len(b) > maxDecimalDigits {
+		return -1
+	}
+	n := int64(0)
+	for _, c := range b {
+		if !isDigit(c) {
+			return -1
+		}
+		n = 10*n + int64(c-'0')
+	}
+	return n
+}
+
+// EqualsLower reports whether a name equals one that is in lower case, ignoring the ASCII case of the first.
+func EqualsLower(name []byte, lower string) bool {
+	if len(name) != len(lower) {
+		return false
+	}
+	for i, c := range name {
+		if 'A' <= c && c <= 'Z' {
+			c |= 0x20
+		}
+		if c != lower[i] {
+			return false
+		}
+	}
+	return true
+}
+
+// ListContains reports whether a comma-separated list, such as the value of Connection, contains a name in any case.
+func ListContains(list, name []byte) bool {
+	for len(list) > 0 {
+		var item []byte
+		item, list = cutListItem(list)
+		if bytes.EqualFold(item, name) {
+			return true
+		}
+	}
+	return false
+}
+
+// listContainsLower is ListContains for a name in lower case, by ASCII case only.
+func listContainsLower(list []byte, name string) bool {
+	for len(list) > 0 {
+		var item []byte
+		item, list = cutListItem(list)
+		if EqualsLower(item, name) {
+			return true
+		}
+	}
+	return false
+}
+
+// cutListItem returns the first item of a comma-separated list and the rest of the list.
+func cutListItem(list []byte) (item, rest []byte) {
+	comma := bytes.IndexByte(list, ',')
+	if comma < 0 {
+		return trimSpace(list), nil
+	}
+	return trimSpace(list[:comma]), list[comma+1:]
+}
+
+// trimSpace removes the spaces and tabs around b.
+func trimSpace(b []byte) []byte {
+	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t') {
+		b = b[1:]
+	}
+	for len(b) > 0 && (b[len(b)-1] == ' ' || b[len(b)-1] == '\t') {
+		b = b[:len(b)-1]
+	}
+	return b
+}
--- a/internal/httpcodec/write.go
+++ b/internal/httpcodec/write.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// The writers append to b and return it, as append does.
+// The Append functions append to b and return the result, as append does.
 
-// AppendStatus appends a status line.
+// AppendStatus appends the status line of a response.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -13,7 +13,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendRequest appends a request line.
+// AppendRequest appends the request line of a request.
 func AppendRequest(b []byte, method, target string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -21,7 +21,8 @@
 	return append(b, " HTTP/1.1\r\n"...)
 }
 
-// AppendHeader appends a header line. Name and value are to be clean already: they come from a parsed head or from us.
+// AppendHeader appends a header line. It does not check name and value: they must come from a parsed head or be known to
+// be valid.
 func AppendHeader[T string | []byte](b []byte, name string, value T) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -29,14 +30,14 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLength appends Content-Length.
+// AppendLength appends a Content-Length line.
 func AppendLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, "\r\n"...)
 }
 
-// AppendChunk appends one chunk; an empty one is left out, as it would end the body.
+// AppendChunk appends a chunk of the chunked coding. Empty data is left out, as an empty chunk would end the body.
 func AppendChunk(b, data []byte) []byte {
 	if len(data) == 0 {
 		return b
@@ -47,10 +48,11 @@
 	return append(b, "\r\n"...)
 }
 
-// LastChunk ends a chunked body.
+// LastChunk ends a body in the chunked coding.
 const LastChunk = "0\r\n\r\n"
 
-// IsHopByHop tells whether a header belongs to one connection only and is not passed on (RFC 9110, 7.6.1).
+// IsHopByHop reports whether a header concerns a single connection and must not be forwarded (RFC 9110, section 7.6.1), or
+// is set anew for each. name must not be empty.
 func IsHopByHop(name []byte) bool {
 	switch name[0] | 0x20 {
 	case 'c':
@@ -71,7 +73,7 @@
 	return false
 }
 
-// Reason is the usual phrase of a status.
+// Reason returns the reason phrase of a status code, or "Status" if the code is not one that the program uses.
 func Reason(status int) string {
 	switch status {
 	case 100:
