--- /dev/null
+++ b/internal/syscalls/faults/kernel.go
@@ -0,0 +1,167 @@
+// Package faults injects faults into system calls, of the kinds that Linux documents: in tests, by functions, and in the
+// fault soak, by a plan that a process reads from its environment. The release build does not contain it.
+package faults
+
+import (
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"mastchute/internal/syscalls"
+)
+
+// Call is the name of a system call.
+type Call string
+
+// The system calls that can fail.
+const (
+	Socket       Call = "socket"
+	Connect      Call = "connect"
+	Bind         Call = "bind"
+	Listen       Call = "listen"
+	Accept       Call = "accept"
+	Read         Call = "read"
+	Write        Call = "write"
+	EpollCreate  Call = "epoll_create"
+	EpollControl Call = "epoll_ctl"
+	EpollWait    Call = "epoll_wait"
+	EventFD      Call = "eventfd"
+	ReadFile     Call = "open"
+)
+
+// Kernel injects faults into another Kernel. Its functions are called by the goroutines that make the system calls, and
+// may be nil.
+type Kernel struct {
+	syscalls.Kernel
+	// Fail is called before each system call, with the descriptor, or -1 where there is none. If it returns an error, that
+	// is the result and the system call is not made.
+	Fail func(c Call, fd int) error
+	// Short returns the greatest number of bytes that a Read or Write of n bytes may transfer.
+	Short func(c Call, fd, n int) int
+	// Offset returns the error of the wall clock.
+	Offset func() time.Duration
+}
+
+func (k *Kernel) fail(c Call, fd int) error {
+	if k.Fail == nil {
+		return nil
+	}
+	return k.Fail(c, fd)
+}
+
+// limitLength returns the part of b that a Read or Write may transfer, at least one byte unless b is empty.
+func (k *Kernel) limitLength(c Call, fd int, b []byte) []byte {
+	if k.Short == nil || len(b) == 0 {
+		return b
+	}
+	return b[:max(1, min(len(b), k.Short(c, fd, len(b))))]
+}
+
+// Socket implements syscalls.Kernel.
+func (k *Kernel) Socket(domain, kind, protocol int) (int, error) {
+	if err := k.fail(Socket, -1); err != nil {
+		return -1, err
+	}
+	return k.Kernel.Socket(domain, kind, protocol)
+}
+
+// Connect implements syscalls.Kernel. An injected EINTR interrupts a connect that, as in Linux, continues in the kernel.
+func (k *Kernel) Connect(fd int, to unix.Sockaddr) error {
+	err := k.fail(Connect, fd)
+	if err == nil {
+		return k.Kernel.Connect(fd, to)
+	}
+	if err == unix.EINTR {
+		k.Kernel.Connect(fd, to)
+	}
+	return err
+}
+
+// Bind implements syscalls.Kernel.
+func (k *Kernel) Bind(fd int, at unix.Sockaddr) error {
+	if err := k.fail(Bind, fd); err != nil {
+		return err
+	}
+	return k.Kernel.Bind(fd, at)
+}
+
+// Listen implements syscalls.Kernel.
+func (k *Kernel) Listen(fd, backlog int) error {
+	if err := k.fail(Listen, fd); err != nil {
+		return err
+	}
+	return k.Kernel.Listen(fd, backlog)
+}
+
+// Accept implements syscalls.Kernel.
+func (k *Kernel) Accept(fd int) (int, unix.Sockaddr, error) {
+	if err := k.fail(Accept, fd); err != nil {
+		return -1, nil, err
+	}
+	return k.Kernel.Accept(fd)
+}
+
+// Read implements syscalls.Kernel.
+func (k *Kernel) Read(fd int, b []byte) (int, error) {
+	if err := k.fail(Read, fd); err != nil {
+		return -1, err
+	}
+	return k.Kernel.Read(fd, k.limitLength(Read, fd, b))
+}
+
+// Write implements syscalls.Kernel.
+func (k *Kernel) Write(fd int, b []byte) (int, error) {
+	if err := k.fail(Write, fd); err != nil {
+		return -1, err
+	}
+	return k.Kernel.Write(fd, k.limitLength(Write, fd, b))
+}
+
+// EpollCreate implements syscalls.Kernel.
+func (k *Kernel) EpollCreate() (int, error) {
+	if err := k.fail(EpollCreate, -1); err != nil {
+		return -1, err
+	}
+	return k.Kernel.EpollCreate()
+}
+
+// EpollControl implements syscalls.Kernel.
+func (k *Kernel) EpollControl(epoll, operation, fd int, events uint32, tag int32) error {
+	if err := k.fail(EpollControl, fd); err != nil {
+		return err
+	}
+	return k.Kernel.EpollControl(epoll, operation, fd, events, tag)
+}
+
+// EpollWait implements syscalls.Kernel.
+func (k *Kernel) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
+	if err := k.fail(EpollWait, epoll); err != nil {
+		return -1, err
+	}
+	return k.Kernel.EpollWait(epoll, events, ms)
+}
+
+// EventFD implements syscalls.Kernel.
+func (k *Kernel) EventFD() (int, error) {
+	if err := k.fail(EventFD, -1); err != nil {
+		return -1, err
+	}
+	return k.Kernel.EventFD()
+}
+
+// ReadFile implements syscalls.Kernel.
+func (k *Kernel) ReadFile(path string) ([]byte, error) {
+	if err := k.fail(ReadFile, -1); err != nil {
+		return nil, err
+	}
+	return k.Kernel.ReadFile(path)
+}
+
+// WallClock implements syscalls.Kernel.
+func (k *Kernel) WallClock() time.Time {
+	now := k.Kernel.WallClock()
+	if k.Offset != nil {
+		now = now.Add(k.Offset())
+	}
+	return now
+}
