--- a/internal/httpcodec/body.go
+++ b/internal/httpcodec/body.go
@@ -1,7 +1,7 @@
 package httpcodec
 
-// Body decodes the body that follows a head. ResetRequest or ResetResponse prepares it for a message.
-type Body struct {
+// BodyDecoder decodes the body that follows a head. ResetRequest or ResetResponse prepares it for a message.
+type BodyDecoder struct {
 	state        bodyState
 	remaining    int64 // bytes of the body, or of the current chunk
 	limit        int64 // bytes of data that may still follow in chunks
@@ -25,8 +25,8 @@
 const unlimited = 1 << 62
 
 // ResetRequest prepares for the body of a request.
-func (d *Body) ResetRequest(h *Head, limits Limits) {
-	*d = Body{limit: limits.Body}
+func (d *BodyDecoder) ResetRequest(h *Head, limits Limits) {
+	*d = BodyDecoder{limit: limits.Body}
 	if h.Chunked {
 		d.state = bodyChunkSize
 	} else if h.Length > 0 {
@@ -37,8 +37,8 @@
 
 // ResetResponse prepares for the body of a response, which has no size limit. toHEAD states that the request's method was
 // HEAD, to which a response has no body.
-func (d *Body) ResetResponse(h *Head, toHEAD bool) {
-	*d = Body{limit: unlimited}
+func (d *BodyDecoder) ResetResponse(h *Head, toHEAD bool) {
+	*d = BodyDecoder{limit: unlimited}
 	switch {
 	case toHEAD || h.Status < 200 || h.Status == 204 || h.Status == 304 || h.Length == 0:
 	case h.Chunked:
@@ -52,15 +52,15 @@
 }
 
 // Done reports whether the body is complete.
-func (d *Body) Done() bool { return d.state == bodyDone }
+func (d *BodyDecoder) Done() bool { return d.state == bodyDone }
 
 // ReadsUntilClose reports whether the body ends with its connection.
-func (d *Body) ReadsUntilClose() bool { return d.state == bodyUntilClose }
+func (d *BodyDecoder) ReadsUntilClose() bool { return d.state == bodyUntilClose }
 
 // Next decodes from the start of b. It returns a piece of the body, which is a part of b and may be empty, and the number
 // of bytes it consumed, framing included. It is called again with the rest until it consumes nothing or Done returns
 // true.
-func (d *Body) Next(b []byte) (data []byte, used int, err error) {
+func (d *BodyDecoder) Next(b []byte) (data []byte, used int, err error) {
 	for {
 		rest := b[used:]
 		switch d.state {
@@ -81,7 +81,7 @@
 }
 
 // takeData returns the part of b that belongs to the body or the current chunk.
-func (d *Body) takeData(b []byte) []byte {
+func (d *BodyDecoder) takeData(b []byte) []byte {
 	n := min(int64(len(b)), d.remaining)
 	d.remaining -= n
 	if d.remaining == 0 {
--- a/internal/httpcodec/chunk.go
+++ b/internal/httpcodec/chunk.go
@@ -15,7 +15,7 @@
 
 // parseChunkFraming parses one element of the chunked coding that is not data, from the start of b. It returns its length,
 // or 0 if it has not arrived completely.
-func (d *Body) parseChunkFraming(b []byte) (int, error) {
+func (d *BodyDecoder) parseChunkFraming(b []byte) (int, error) {
 	switch d.state {
 	case bodyChunkSize:
 		return d.parseSizeLine(b)
@@ -26,7 +26,7 @@
 	}
 }
 
-func (d *Body) parseSizeLine(b []byte) (int, error) {
+func (d *BodyDecoder) parseSizeLine(b []byte) (int, error) {
 	line, n, err := readLine(b, maxChunkLine)
 	if n == 0 || err != nil {
 		return 0, err
@@ -51,7 +51,7 @@
 	return n, nil
 }
 
-func (d *Body) parseChunkEnd(b []byte) (int, error) {
+func (d *BodyDecoder) parseChunkEnd(b []byte) (int, error) {
 	if len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n' {
 		return 0, ErrMalformedChunk
 	}
@@ -63,7 +63,7 @@
 }
 
 // parseTrailerLine checks a trailer line, which is discarded, or ends the body at the empty line.
-func (d *Body) parseTrailerLine(b []byte) (int, error) {
+func (d *BodyDecoder) parseTrailerLine(b []byte) (int, error) {
 	line, n, err := readLine(b, maxTrailerBytes)
 	if n == 0 || err != nil {
 		return 0, err
--- a/internal/httpcodec/helpers_test.go
+++ b/internal/httpcodec/helpers_test.go
@@ -21,7 +21,7 @@
 	if n == 0 {
 		return h, nil, 0, io.ErrUnexpectedEOF
 	}
-	var decoder Body
+	var decoder BodyDecoder
 	decoder.ResetRequest(&h, limits)
 	body, used, err = decode(&decoder, b[n:], piece)
 	return h, body, n + used, err
@@ -36,7 +36,7 @@
 }
 
 // decode decodes one whole body that arrives in pieces of the given size.
-func decode(decoder *Body, b []byte, piece int) (body []byte, used int, err error) {
+func decode(decoder *BodyDecoder, b []byte, piece int) (body []byte, used int, err error) {
 	for end := nextEnd(0, piece, len(b)); !decoder.Done(); end = nextEnd(end, piece, len(b)) {
 		for !decoder.Done() {
 			data, n, err := decoder.Next(b[used:end])
--- a/internal/httpcodec/request_test.go
+++ b/internal/httpcodec/request_test.go
@@ -88,7 +88,7 @@
 	b := []byte("POST /v2/models/m/infer HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nX: y\r\nTransfer: z\r\n\r\nabc")
 	parser := Parser{Limits: DefaultLimits}
 	var h Head
-	var decoder Body
+	var decoder BodyDecoder
 	allocations := testing.AllocsPerRun(100, func() {
 		n, err := parser.ParseRequest(b, &h)
 		if err != nil {
--- a/internal/httpcodec/response_test.go
+++ b/internal/httpcodec/response_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			continue
 		}
-		var decoder Body
+		var decoder BodyDecoder
 		decoder.ResetResponse(&h, c.toHEAD)
 		var body []byte
 		for rest := []byte(c.text)[n:]; !decoder.Done() && len(rest) > 0; {
--- a/internal/httpconn/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -20,7 +20,7 @@
 	call         *Call // nil while idle
 	parser       httpcodec.Parser
 	head         httpcodec.Head
-	body         httpcodec.Body
+	body         httpcodec.BodyDecoder
 	timer        eventloop.Timer // idle timeout
 	headReceived bool            // the head of the response to call
 	hasCarried   bool            // a call has been sent on it
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -24,7 +24,7 @@
 
 	conn            *serverConn
 	headBytes       []byte // Head points into it
-	decoder         httpcodec.Body
+	decoder         httpcodec.BodyDecoder
 	reservedBytes   int64 // in the server's memory budget
 	requestComplete bool
 	streaming       bool // StartStream has been called
