--- /dev/null
+++ b/internal/eventloop/arrival_test.go
@@ -0,0 +1,93 @@
+//go:build linux
+
+package eventloop
+
+import (
+	"io"
+	"math"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
+)
+
+func TestArrivalTimeIsNeverInTheFuture(t *testing.T) {
+	l := &Loop{now: 10}
+	for _, c := range []struct{ after, want float64 }{
+		{9.99, 10}, // an ordinary gap between polls: the bytes count as arrived now
+		{5, 5 + arrivalSlack},
+		{10, 10},
+	} {
+		if got := l.arrivalTime(c.after); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("arrived after %g: %g, want %g", c.after, got, c.want)
+		}
+	}
+}
+
+// The bound of unread bytes holds for the poll at which it was recorded and for the next one.
+func TestUnreadBytesKeepTheirBound(t *testing.T) {
+	l := &Loop{previousPolledUntil: 8, pollCount: 3}
+	c := &Conn{loop: l, fd: -1}
+	if got := c.arrivedAfter(); got != 8 {
+		t.Errorf("with all read: %g, want that of the polls", got)
+	}
+	c.markUnread(2)
+	for polls, want := range []float64{2, 2, 8, 8} {
+		l.pollCount = 3 + int64(polls)
+		if got := c.arrivedAfter(); got != want {
+			t.Errorf("%d polls later: %g, want %g", polls, got, want)
+		}
+	}
+	c.hasUnread = false
+	c.backingOff = true // polls do not report what arrives
+	if got := c.arrivedAfter(); got != 2 {
+		t.Errorf("while backing off: %g, want 2", got)
+	}
+}
+
+// Bytes that arrive during a stall of the process count as arrived when it began, but for arrivalSlack.
+func TestStallCountsAsTimePassed(t *testing.T) {
+	const stall = 500 * time.Millisecond
+	var stalls atomic.Bool
+	stalled := make(chan struct{})
+	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Fail: func(c faults.Call, _ int) error {
+		if c == faults.EpollWait && stalls.CompareAndSwap(true, false) {
+			close(stalled)
+			time.Sleep(stall)
+		}
+		return nil
+	}}
+	l, onLoop := startLoop(t, 0)
+	syscalls.Default = syscalls.Linux{}
+	var age, reported float64 // on the loop
+	ln := listen(t, l, onLoop, func(*Conn) Handler {
+		return &handlerFuncs{received: func(c *Conn, b []byte) int {
+			age = l.Now() - c.ReceivedAt()
+			c.Write(b)
+			return len(b)
+		}}
+	})
+	onLoop(func() { l.OnStall = func(span float64) { reported = math.Max(reported, span) } })
+	c := dial(t, ln)
+	exchange := func() {
+		t.Helper()
+		c.Write([]byte("x"))
+		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	exchange()
+	stalls.Store(true)
+	<-stalled
+	exchange()
+	onLoop(func() {
+		if least := stall.Seconds() - arrivalSlack - 0.05; age < least {
+			t.Errorf("bytes count as %.3f s old after a stall of %v, want %.3f at least", age, stall, least)
+		}
+		if reported < stall.Seconds()-0.05 {
+			t.Errorf("a stall of %.3f s reported, of %v", reported, stall)
+		}
+	})
+}
--- /dev/null
+++ b/internal/httpconn/helpers_test.go
@@ -0,0 +1,71 @@
+package httpconn
+
+import (
+	"net/netip"
+	"testing"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/eventloop/eventlooptest"
+	"mastchute/internal/httpcodec"
+)
+
+// startLoop runs an event loop until the test ends.
+func startLoop(t *testing.T) *eventloop.Loop {
+	t.Helper()
+	l, err := eventloop.New(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- l.Run() }()
+	t.Cleanup(func() {
+		l.Stop()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return l
+}
+
+// recordingService responds to each request with its target and body, except that requests for /later wait in held. Its
+// fields belong to the loop.
+type recordingService struct {
+	held     []*Exchange
+	gone     int
+	rejected []int // status codes
+}
+
+func (s *recordingService) HeadReceived(*Exchange) bool { return false }
+func (s *recordingService) StreamWritable(*Exchange)    {}
+func (s *recordingService) ClientGone(*Exchange)        { s.gone++ }
+
+func (s *recordingService) RequestRefused(e *httpcodec.Error) {
+	s.rejected = append(s.rejected, e.Status)
+}
+
+func (s *recordingService) RequestReceived(x *Exchange) {
+	if string(x.Head.Target) == "/later" {
+		s.held = append(s.held, x)
+		return
+	}
+	respond(x)
+}
+
+func respond(x *Exchange) {
+	body := append([]byte(nil), x.Head.Target...)
+	x.FinishResponse(x.StartResponse(200), append(body, x.Body...))
+}
+
+func startServer(t *testing.T, l *eventloop.Loop, options ServerOptions) (*Server, *recordingService) {
+	t.Helper()
+	service := &recordingService{}
+	var server *Server
+	var err error
+	eventlooptest.On(t, l, func() {
+		server, err = NewServer(l, netip.MustParseAddrPort("127.0.0.1:0"), service, options)
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return server, service
+}
--- /dev/null
+++ b/internal/httpconn/pool_test.go
@@ -0,0 +1,157 @@
+package httpconn
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"testing"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/eventloop/eventlooptest"
+	"mastchute/internal/httpcodec"
+)
+
+// recordedCall is a call and its result. It belongs to the loop.
+type recordedCall struct {
+	Call
+	status int
+	body   string
+	done   int
+	err    error
+}
+
+func (c *recordedCall) ResponseHead(h *httpcodec.Head) { c.status = h.Status }
+func (c *recordedCall) ResponseBody(b []byte)          { c.body += string(b) }
+
+func (c *recordedCall) ResponseDone(err error) {
+	c.done++
+	c.err = err
+}
+
+// do starts a GET request. It must be called on the loop.
+func (c *recordedCall) do(p *Pool, target string) {
+	c.Handler = c
+	p.Do(&c.Call, fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: a\r\n\r\n", target), nil)
+}
+
+func startPool(t *testing.T, l *eventloop.Loop, addr netip.AddrPort, options PoolOptions) (p *Pool) {
+	t.Helper()
+	eventlooptest.On(t, l, func() { p = NewPool(l, addr, options) })
+	return p
+}
+
+// Calls beyond MaxConnections are queued, and served in order on the connections there are.
+func TestPoolQueuesCalls(t *testing.T) {
+	l := startLoop(t)
+	server, _ := startServer(t, l, ServerOptions{})
+	p := startPool(t, l, server.Addr(), PoolOptions{MaxConnections: 2})
+	calls := make([]recordedCall, 20)
+	eventlooptest.On(t, l, func() {
+		for i := range calls {
+			calls[i].do(p, fmt.Sprint("/", i))
+		}
+		if p.ConnectionCount() != 2 || p.QueuedCount() != 18 {
+			t.Errorf("%d connections, %d queued", p.ConnectionCount(), p.QueuedCount())
+		}
+		calls[5].Cancel()
+	})
+	eventlooptest.Until(t, l, "all calls but the cancelled one end", func() bool {
+		ended := 0
+		for i := range calls {
+			ended += calls[i].done
+		}
+		return ended == 19
+	})
+	eventlooptest.On(t, l, func() {
+		for i := range calls {
+			c := &calls[i]
+			if i == 5 {
+				if c.done != 0 || c.AnyByteSent() {
+					t.Error("the cancelled call was sent or ended")
+				}
+			} else if c.err != nil || c.status != 200 || c.body != fmt.Sprint("/", i) || !c.FullySent() {
+				t.Errorf("call %d: %d %q, %v", i, c.status, c.body, c.err)
+			}
+		}
+		if p.ConnectionCount() != 2 || p.QueuedCount() != 0 {
+			t.Errorf("%d connections, %d queued", p.ConnectionCount(), p.QueuedCount())
+		}
+		p.Close()
+		if p.ConnectionCount() != 0 {
+			t.Errorf("%d connections after Close", p.ConnectionCount())
+		}
+	})
+}
+
+// FailUnsent ends the calls that wait for a connection, and no others.
+func TestFailUnsent(t *testing.T) {
+	l := startLoop(t)
+	server, service := startServer(t, l, ServerOptions{})
+	p := startPool(t, l, server.Addr(), PoolOptions{MaxConnections: 1})
+	var sent, queued recordedCall
+	eventlooptest.On(t, l, func() {
+		sent.do(p, "/later")
+		queued.do(p, "/")
+	})
+	eventlooptest.Until(t, l, "the first request is received", func() bool { return len(service.held) == 1 })
+	eventlooptest.On(t, l, func() {
+		p.FailUnsent()
+		if queued.done != 0 {
+			t.Error("ended before FailUnsent returned")
+		}
+	})
+	eventlooptest.Until(t, l, "the queued call ends", func() bool { return queued.done == 1 })
+	eventlooptest.On(t, l, func() {
+		if !errors.Is(queued.err, ErrNotSent) || queued.AnyByteSent() {
+			t.Errorf("queued: %v, sent %v", queued.err, queued.AnyByteSent())
+		}
+		if sent.done != 0 || !sent.AnyByteSent() {
+			t.Errorf("sent: ended %d times, %v", sent.done, sent.err)
+		}
+		respond(service.held[0])
+	})
+	eventlooptest.Until(t, l, "the sent call ends", func() bool { return sent.done == 1 && sent.err == nil })
+}
+
+// Each way in which a response can fail ends the call with the error that says so.
+func TestFailedResponses(t *testing.T) {
+	l := startLoop(t)
+	for _, c := range []struct {
+		name, response string
+		want           error
+		body           string
+	}{
+		{"complete", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", nil, "ab"},
+		{"until close", "HTTP/1.1 200 OK\r\n\r\nab", nil, "ab"},
+		{"truncated", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", ErrTruncated, "ab"},
+		{"malformed head", "HTTP/3 200 OK\r\n\r\n", ErrMalformedResponse, ""},
+		{"malformed chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n", ErrMalformedResponse, ""},
+		{"closed before the head", "HTTP/1.1 200", io.EOF, ""},
+	} {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			conn.Read(make([]byte, 1000))
+			io.WriteString(conn, c.response)
+			conn.Close()
+		}()
+		p := startPool(t, l, netip.MustParseAddrPort(listener.Addr().String()), PoolOptions{})
+		var call recordedCall
+		eventlooptest.On(t, l, func() { call.do(p, "/") })
+		eventlooptest.Until(t, l, c.name+": the call ends", func() bool { return call.done > 0 })
+		eventlooptest.On(t, l, func() {
+			if !errors.Is(call.err, c.want) || call.body != c.body || !call.AnyByteSent() {
+				t.Errorf("%s: %v, body %q; want %v, %q", c.name, call.err, call.body, c.want, c.body)
+			}
+		})
+		listener.Close()
+	}
+}
