--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -11,7 +11,9 @@
 // the time at which they arrived. The kernel does not report that time; it is estimated from the polls:
 //
 //   - Loop.polledUntil: whatever arrived before this time has been reported by the latest poll or an earlier one. It is
-//     the time just before epoll_wait was called, or, where the wait ended without events, the end of the wait.
+//     the time just before epoll_wait was called. Where the wait ended without events it is the scheduled end of the
+//     wait, or the time at which epoll_wait returned if that is earlier: of what arrived between the scheduled end and a
+//     later return, as after a stall, nothing is known.
 //   - Loop.previousPolledUntil: the same for the poll before the latest. What the latest poll reports for the first time
 //     arrived after it, as epoll is level-triggered and the earlier poll would have reported it.
 //
