--- a/internal/eventloop/arrival_test.go
+++ b/internal/eventloop/arrival_test.go
@@ -51,10 +51,11 @@
 func TestStallCountsAsTimePassed(t *testing.T) {
 	const stall = 500 * time.Millisecond
 	var stalls atomic.Bool
-	stalled := make(chan struct{})
+	stalled, written := make(chan struct{}), make(chan struct{})
 	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Fail: func(c faults.Call, _ int) error {
 		if c == faults.EpollWait && stalls.CompareAndSwap(true, false) {
 			close(stalled)
+			<-written
 			time.Sleep(stall)
 		}
 		return nil
@@ -71,17 +72,20 @@
 	})
 	onLoop(func() { l.OnStall = func(span float64) { reported = math.Max(reported, span) } })
 	c := dial(t, ln)
-	exchange := func() {
+	write := func() { c.Write([]byte("x")) }
+	readEcho := func() {
 		t.Helper()
-		c.Write([]byte("x"))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	exchange()
+	write()
+	readEcho()
 	stalls.Store(true)
 	<-stalled
-	exchange()
+	write()
+	close(written)
+	readEcho()
 	onLoop(func() {
 		if least := stall.Seconds() - arrivalSlack - 0.05; age < least {
 			t.Errorf("bytes count as %.3f s old after a stall of %v, want %.3f at least", age, stall, least)
