--- a/internal/eventloop/arrival_test.go
+++ b/internal/eventloop/arrival_test.go
@@ -28,14 +28,14 @@
 
 // The bound of unread bytes holds for the poll at which it was recorded and for the next one.
 func TestUnreadBytesKeepTheirBound(t *testing.T) {
-	l := &Loop{previousPolledUntil: 8, pollCount: 3}
+	l := &Loop{polls: pollHistory{count: 3, previousUntil: 8}}
 	c := &Conn{loop: l, fd: -1}
 	if got := c.arrivedAfter(); got != 8 {
 		t.Errorf("with all read: %g, want that of the polls", got)
 	}
 	c.markUnread(2)
 	for polls, want := range []float64{2, 2, 8, 8} {
-		l.pollCount = 3 + int64(polls)
+		l.polls.count = 3 + int64(polls)
 		if got := c.arrivedAfter(); got != want {
 			t.Errorf("%d polls later: %g, want %g", polls, got, want)
 		}
@@ -95,3 +95,24 @@
 		}
 	})
 }
+
+func TestPollHistory(t *testing.T) {
+	var h pollHistory
+	for _, c := range []struct {
+		started, timeout, ended float64
+		events                  int
+		until, previousUntil    float64
+		catchingUp              bool
+	}{
+		{1.00, 0.04, 1.02, 1, 1.00, 0, true}, // with events: all that arrived before the start is reported
+		{1.02, 0.04, 1.06, 0, 1.06, 1.00, false},
+		{1.06, 0.04, 1.30, 0, 1.10, 1.06, true}, // returned late: nothing is known after the scheduled end
+		{1.30, 0.04, 1.32, 0, 1.32, 1.10, true}, // so that what arrives now may be as old as that
+		{1.32, 0.04, 1.33, 2, 1.32, 1.32, false},
+	} {
+		h.record(c.started, c.timeout, c.ended, c.events)
+		if math.Abs(h.until-c.until) > 1e-9 || math.Abs(h.previousUntil-c.previousUntil) > 1e-9 || h.catchingUp != c.catchingUp {
+			t.Errorf("poll from %g to %g: %+v, want %+v", c.started, c.ended, h, c)
+		}
+	}
+}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -29,10 +29,10 @@
 	peerClosedSide  bool  // while lingering with bytes still to be written
 	timer           Timer // for connecting, then for lingering
 
-	writePending      bool // in Loop.pendingWrites
+	writePending      bool // in Loop.writes
 	writeBlocked      bool // the kernel accepted less than was written
 	notifyFlushed     bool // Flushed is to be called in any case
-	redeliveryPending bool // in Loop.pendingRedelivery
+	redeliveryPending bool // in Loop.redeliveries
 	paused            bool // by Pause
 
 	backingOff   bool   // in Loop.backingOff: the kernel has no memory for reads or writes
@@ -42,7 +42,7 @@
 	// Arrival times; see arrival.go.
 	hasUnread   bool    // unread bytes may have arrived before the latest polls,
 	unreadAfter float64 // and after this time;
-	unreadPoll  int64   // Loop.pollCount when that was recorded
+	unreadPoll  int64   // pollHistory.count when that was recorded
 	receivedAt  float64 // when the bytes being passed to the handler arrived
 }
 
--- a/internal/eventloop/conn_read.go
+++ b/internal/eventloop/conn_read.go
@@ -43,7 +43,7 @@
 func (c *Conn) Redeliver() {
 	if len(c.unconsumed) > 0 && !c.redeliveryPending {
 		c.redeliveryPending = true
-		c.loop.pendingRedelivery = append(c.loop.pendingRedelivery, c)
+		c.loop.redeliveries.add(c)
 	}
 }
 
@@ -85,7 +85,7 @@
 func (c *Conn) readReported(peerClosing bool) {
 	after := c.arrivedAfter()
 	limit := 1 // bytes after which no further read is made
-	if peerClosing || c.loop.catchingUp || c.wasUnwatched {
+	if peerClosing || c.loop.polls.catchingUp || c.wasUnwatched {
 		limit = maxCatchUpReads * readBufferBytes
 	}
 	total := 0
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -61,7 +61,7 @@
 func (c *Conn) scheduleWrite() {
 	if !c.writePending && c.established {
 		c.writePending = true
-		c.loop.pendingWrites = append(c.loop.pendingWrites, c)
+		c.loop.writes.add(c)
 	}
 }
 
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -119,7 +119,7 @@
 // acceptWaiting accepts the connections in the kernel's queue, up to maxAcceptsPerTurn.
 func (ln *Listener) acceptWaiting() {
 	if !ln.mayHaveWaiting {
-		ln.knownEmptyAt = math.Max(ln.knownEmptyAt, ln.loop.previousPolledUntil)
+		ln.knownEmptyAt = math.Max(ln.knownEmptyAt, ln.loop.polls.previousUntil)
 	}
 	acceptedBefore := ln.loop.Stats.Accepted.Load()
 	for i := range maxAcceptsPerTurn {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -96,22 +96,13 @@
 	refusedRegistrations []registrationRef
 	registrationTimer    Timer // retries refusedRegistrations
 	events               [maxEventsPerPoll]unix.EpollEvent
-	pollCount            int64
-	polledUntil          float64 // see arrival.go
-	previousPolledUntil  float64 // see arrival.go
-	catchingUp           bool    // the latest poll came more than arrivalSlack after the previous one
-
-	// Work queues. Each has a twin that holds the entries being run, so that entries added meanwhile wait for the next
-	// round and neither slice is reallocated.
-	pendingWrites     []*Conn // connections with bytes to write
-	runningWrites     []*Conn
-	pendingRedelivery []*Conn // connections whose unconsumed bytes are to be passed to Received again
-	runningRedelivery []*Conn
-	deferred          []func()
-	runningDeferred   []func()
-	postedMutex       sync.Mutex // guards posted
-	posted            []func()
-	runningPosted     []func()
+	polls                pollHistory
+
+	writes       batchQueue[*Conn] // connections with bytes to write
+	redeliveries batchQueue[*Conn] // connections whose unconsumed bytes are to be passed to Received again
+	deferred     batchQueue[func()]
+	postedMutex  sync.Mutex         // guards posted, but not a batch of it
+	posted       batchQueue[func()] // from other goroutines
 
 	backingOff   []*Conn // connections suspended for lack of local resources
 	backoffTimer Timer   // resumes backingOff
--- a/internal/eventloop/poll.go
+++ b/internal/eventloop/poll.go
@@ -2,11 +2,7 @@
 
 package eventloop
 
-import (
-	"math"
-
-	"golang.org/x/sys/unix"
-)
+import "golang.org/x/sys/unix"
 
 // pollEvents waits up to timeout ms for events, dispatches them, and updates the clock and what is known of arrival
 // times. A wait interrupted by a signal counts as no poll.
@@ -20,31 +16,20 @@
 	if err != nil {
 		return err
 	}
-	l.recordPoll(started, timeout, n)
+	l.polls.record(started, float64(timeout)/1e3, l.now, n)
+	if l.polls.catchingUp {
+		l.Stats.Stalls.Add(1)
+	}
 	l.dispatchEvents(l.events[:n])
 	l.pollFurtherEvents(n)
-	if l.catchingUp && l.OnStall != nil {
-		l.OnStall(l.now - l.previousPolledUntil)
+	if l.polls.catchingUp && l.OnStall != nil {
+		l.OnStall(l.now - l.polls.previousUntil)
 	}
 	return nil
 }
 
-// recordPoll updates the arrival times known from polls; see arrival.go.
-func (l *Loop) recordPoll(started float64, timeout, eventCount int) {
-	l.previousPolledUntil = l.polledUntil
-	l.polledUntil = started
-	if eventCount == 0 { // nothing arrived up to the end of the wait
-		l.polledUntil = math.Min(l.now, started+float64(timeout)/1e3)
-	}
-	l.pollCount++
-	l.catchingUp = l.now-l.previousPolledUntil > arrivalSlack
-	if l.catchingUp {
-		l.Stats.Stalls.Add(1)
-	}
-}
-
 // pollFurtherEvents polls again, as part of the same poll, while the event buffer was full: otherwise some descriptors
-// that were ready by polledUntil would not be reported.
+// that were ready by pollHistory.until would not be reported.
 func (l *Loop) pollFurtherEvents(eventCount int) {
 	for range maxFollowUpPolls {
 		if eventCount < len(l.events) {
@@ -80,4 +65,4 @@
 
 // pollIsStale reports whether the latest poll is so long ago that what has arrived since must be read before anything is
 // written.
-func (l *Loop) pollIsStale() bool { return l.Clock()-l.polledUntil > maxPollAge }
+func (l *Loop) pollIsStale() bool { return l.Clock()-l.polls.until > maxPollAge }
--- a/internal/eventloop/post.go
+++ b/internal/eventloop/post.go
@@ -11,7 +11,7 @@
 // ended.
 func (l *Loop) Post(f func()) {
 	l.postedMutex.Lock()
-	l.posted = append(l.posted, f)
+	l.posted.add(f)
 	l.postedMutex.Unlock()
 	if l.wakePending.CompareAndSwap(false, true) {
 		l.wakeUp()
@@ -41,26 +41,26 @@
 func (l *Loop) Stop() { l.Post(func() { l.stopped = true }) }
 
 // Defer calls f on the loop within this turn, after the events being handled.
-func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
+func (l *Loop) Defer(f func()) { l.deferred.add(f) }
 
 func (l *Loop) runPosted() {
 	l.postedMutex.Lock()
-	l.posted, l.runningPosted = l.runningPosted[:0], l.posted
+	batch := l.posted.next()
 	l.postedMutex.Unlock()
-	for i, f := range l.runningPosted {
-		if i >= maxPostedPerTurn {
-			l.deferred = append(l.deferred, f)
-		} else {
+	for i, f := range batch {
+		if i < maxPostedPerTurn {
 			f()
+		} else {
+			l.Defer(f)
 		}
-		l.runningPosted[i] = nil
 	}
+	clear(batch)
 }
 
 func (l *Loop) runDeferred() {
-	l.deferred, l.runningDeferred = l.runningDeferred[:0], l.deferred
-	for i, f := range l.runningDeferred {
+	batch := l.deferred.next()
+	for _, f := range batch {
 		f()
-		l.runningDeferred[i] = nil
 	}
+	clear(batch)
 }
--- a/internal/eventloop/turn.go
+++ b/internal/eventloop/turn.go
@@ -31,7 +31,7 @@
 
 // pollTimeout returns how long the next poll may wait, in ms.
 func (l *Loop) pollTimeout() int {
-	if len(l.deferred) > 0 || len(l.pendingWrites) > 0 || len(l.pendingRedelivery) > 0 {
+	if !l.deferred.isEmpty() || !l.writes.isEmpty() || !l.redeliveries.isEmpty() {
 		return 0
 	}
 	wait := maxPollWait
@@ -55,7 +55,7 @@
 		if l.AfterEvents != nil {
 			l.AfterEvents()
 		}
-		if len(l.pendingWrites) > 0 && extraPolls < maxExtraPollsPerTurn && l.pollIsStale() {
+		if !l.writes.isEmpty() && extraPolls < maxExtraPollsPerTurn && l.pollIsStale() {
 			extraPolls++
 			if err := l.pollEvents(0); err == nil {
 				l.runTimers()
@@ -63,31 +63,31 @@
 			}
 		}
 		l.flushWrites()
-		if len(l.deferred) == 0 && len(l.pendingRedelivery) == 0 {
+		if l.deferred.isEmpty() && l.redeliveries.isEmpty() {
 			break
 		}
 	}
 }
 
 func (l *Loop) runRedelivery() {
-	l.pendingRedelivery, l.runningRedelivery = l.runningRedelivery[:0], l.pendingRedelivery
-	for i, c := range l.runningRedelivery {
-		l.runningRedelivery[i] = nil
+	batch := l.redeliveries.next()
+	for _, c := range batch {
 		c.redeliveryPending = false
 		if c.fd >= 0 && !c.paused && !c.lingering && len(c.unconsumed) > 0 {
 			c.deliver(nil)
 		}
 	}
+	clear(batch)
 }
 
 // flushWrites writes what connections have queued. Bytes queued meanwhile wait for the next round.
 func (l *Loop) flushWrites() {
-	l.pendingWrites, l.runningWrites = l.runningWrites[:0], l.pendingWrites
-	for i, c := range l.runningWrites {
-		l.runningWrites[i] = nil
+	batch := l.writes.next()
+	for _, c := range batch {
 		c.writePending = false
 		if c.fd >= 0 {
 			c.flush()
 		}
 	}
+	clear(batch)
 }
--- a/internal/eventloop/turn_test.go
+++ b/internal/eventloop/turn_test.go
@@ -42,10 +42,10 @@
 	ln := listen(t, l, onLoop, func(*Conn) Handler {
 		last := int64(-1)
 		return &handlerFuncs{received: func(c *Conn, b []byte) int {
-			if l.pollCount == last && !l.catchingUp {
+			if l.polls.count == last && !l.polls.catchingUp {
 				twice.Add(1)
 			}
-			last = l.pollCount
+			last = l.polls.count
 			reads.Add(1)
 			if len(b) == 1 {
 				c.Write(b)
