--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -13,10 +13,10 @@
 // Listener accepts connections. It never closes a connection that waits in the kernel's queue: while none can be
 // accepted they stay there, and Drain accepts them all before it closes the socket.
 type Listener struct {
-	// Room is called before each connection is accepted and reports whether there is capacity for one more; if not,
-	// connections stay in the kernel's queue. makeIt asks it to make room, as a connection is known to be waiting. It may
-	// be nil.
-	Room func(makeIt bool) bool
+	// Called before each connection is accepted, to report whether there is capacity for one more; if not, connections stay
+	// in the kernel's queue. makeRoom asks the owner to free capacity, as a connection is known to be waiting. It may be
+	// nil.
+	Room func(makeRoom bool) bool
 
 	loop           *Loop
 	fd             int // -1 after Close
--- a/internal/httpconn/call.go
+++ b/internal/httpconn/call.go
@@ -41,7 +41,7 @@
 	Handler ResponseHandler
 	// SentAt is the loop's time at which the request was passed to an established connection; 0 before.
 	SentAt float64
-	// HEAD marks a request whose response has no body.
+	// Set for a request with the method HEAD, whose response has no body.
 	HEAD bool
 	// SendDeadline is the loop's time after which the request must not be sent any more; 0 means never. The call then ends
 	// with ErrNotSent.
@@ -59,7 +59,7 @@
 	anyByteSent   bool // recorded when the call leaves its connection
 }
 
-// reset prepares the call for a request. Handler, HEAD and SendDeadline belong to the caller.
+// reset prepares the call for a request. It leaves the exported fields that the caller sets.
 func (c *Call) reset(p *Pool, head, body []byte) {
 	c.pool = p
 	c.conn = nil
--- a/internal/httpconn/server.go
+++ b/internal/httpconn/server.go
@@ -58,7 +58,7 @@
 	ClientGone(x *Exchange)
 	// StreamWritable is called when a streamed response may be continued after WriteStream has returned false.
 	StreamWritable(x *Exchange)
-	// RequestRefused is called for each message that the server itself rejects, so that it can be counted.
+	// Called for each message that the server itself rejects, so that it can be counted.
 	RequestRefused(e *httpcodec.Error)
 }
 
--- a/internal/syscalls/faults/kernel.go
+++ b/internal/syscalls/faults/kernel.go
@@ -36,9 +36,9 @@
 	// Fail is called before each system call, with the descriptor, or -1 where there is none. If it returns an error, that
 	// is the result and the system call is not made.
 	Fail func(c Call, fd int) error
-	// Short returns the greatest number of bytes that a Read or Write of n bytes may transfer.
+	// Returns the greatest number of bytes that a Read or Write of n bytes may transfer.
 	Short func(c Call, fd, n int) int
-	// Offset returns the error of the wall clock.
+	// Returns the error of the wall clock.
 	Offset func() time.Duration
 }
 
