--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -10,145 +10,150 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts connections. No connection that the kernel holds is ever closed unheard: while none can be taken,
-// they wait in the backlog.
+// Listener accepts connections. It never closes a connection that waits in the kernel's queue: while none can be
+// accepted they stay there, and Drain accepts them all before it closes the socket.
 type Listener struct {
-	// Room, where set, is asked before each connection is accepted; where it says no, connections wait in the backlog.
-	// With one known to wait it is asked to make room.
-	Room func(makeIt bool) bool
-
-	l        *Loop
-	fd       int
-	addr     netip.AddrPort
-	accepted func(c *Conn) Handler
-	rest     float64
-	timer    Timer
-	paused   bool
-	draining bool
-	behind   bool    // connections may wait from before the last look
-	emptyAt  float64 // the backlog was empty then, or later
+	// Called before each connection is accepted, to report whether there is capacity for one more; if not, connections stay
+	// in the kernel's queue. makeRoom asks the owner to free capacity, as a connection is known to be waiting. It may be
+	// nil.
+	Room func(makeRoom bool) bool
+
+	loop           *Loop
+	fd             int // -1 after Close
+	addr           netip.AddrPort
+	newHandler     func(c *Conn) Handler
+	backoff        float64 // latest pause after failures, s; 0 after a success
+	timer          Timer   // ends a pause
+	paused         bool
+	draining       bool
+	mayHaveWaiting bool    // connections in the queue may be older than the latest polls
+	knownEmptyAt   float64 // the queue was empty at this time or later
 }
 
-// Listen opens a TCP listener; accepted returns the handler of a new connection. Port 0 takes a free one, which
-// Addr tells.
-func (l *Loop) Listen(at netip.AddrPort, accepted func(c *Conn) Handler) (*Listener, error) {
-	domain, sa := sockaddr(at)
+// Listen opens a TCP listener. newHandler returns the handler of an accepted connection, or nil to close it. Port 0
+// selects a free port, which Addr returns.
+func (l *Loop) Listen(at netip.AddrPort, newHandler func(c *Conn) Handler) (*Listener, error) {
+	domain, address := sockaddr(at)
 	fd, err := l.kernel.Socket(domain, unix.SOCK_STREAM, 0)
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = l.kernel.Bind(fd, sa); err == nil {
-		err = l.kernel.Listen(fd, backlogSize)
+	err = l.kernel.Bind(fd, address)
+	if err == nil {
+		err = l.kernel.Listen(fd, listenBacklog)
 	}
 	if err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
-	ln := &Listener{l: l, fd: fd, addr: at, accepted: accepted, emptyAt: l.now}
-	if sa, err := unix.Getsockname(fd); err == nil {
-		ln.addr = addrPort(sa)
+	ln := &Listener{loop: l, fd: fd, addr: at, newHandler: newHandler, knownEmptyAt: l.now}
+	bound, err := unix.Getsockname(fd)
+	if err == nil {
+		ln.addr = addrPort(bound)
 	}
-	ln.timer.Fire = ln.retry
-	l.enter(fd, unix.EPOLLIN, entry{l: ln})
+	ln.timer.Fire = ln.onBackoffEnd
+	l.register(fd, unix.EPOLLIN, registration{listener: ln})
 	l.listeners = append(l.listeners, ln)
 	return ln, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address listened on.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
-// Drain accepts all that wait in the backlog, however long accepting has to rest in between, and then ends accepting:
-// closing at once would reset them, and the requests they carry were taken when the kernel completed the connections.
+// Drain accepts all connections in the kernel's queue, however long accepting has to pause in between, and then closes
+// the listener. Closing it at once would reset them, although from their clients' view they are established and may
+// already carry requests.
 func (ln *Listener) Drain() {
 	if ln.fd >= 0 && !ln.draining {
 		ln.draining = true
-		ln.accept()
+		ln.acceptWaiting()
 	}
 }
 
-// Draining tells whether connections may still wait to be accepted before accepting ends.
+// Draining reports whether Drain has been called and connections may still be waiting to be accepted.
 func (ln *Listener) Draining() bool { return ln.draining && ln.fd >= 0 }
 
-// Close ends accepting; accepted connections live on.
+// Close stops accepting at once. Accepted connections are not affected.
 func (ln *Listener) Close() {
 	if ln.fd >= 0 {
-		ln.l.Cancel(&ln.timer)
-		ln.l.leave(ln.fd)
+		ln.loop.Cancel(&ln.timer)
+		ln.loop.unregister(ln.fd)
 		ln.fd = -1
 	}
 }
 
 func (ln *Listener) pause() {
-	ln.behind = true
+	ln.mayHaveWaiting = true
 	if !ln.paused {
 		ln.paused = true
-		ln.l.change(ln.fd, 0)
+		ln.loop.setEvents(ln.fd, 0)
 	}
 }
 
 func (ln *Listener) resume() {
 	if ln.paused && ln.fd >= 0 {
 		ln.paused = false
-		ln.l.change(ln.fd, unix.EPOLLIN)
+		ln.loop.setEvents(ln.fd, unix.EPOLLIN)
 	}
 }
 
-// retry goes on after a rest.
-func (ln *Listener) retry() {
-	ln.resume()
-	if ln.draining { // an empty backlog would never call
-		ln.accept()
-	}
+func (ln *Listener) pauseFor(seconds float64) {
+	ln.pause()
+	ln.loop.Start(&ln.timer, seconds)
 }
 
-// pauseFor lets accepting rest.
-func (ln *Listener) pauseFor(span float64) {
-	ln.pause()
-	ln.l.Start(&ln.timer, span)
+// backOff pauses accepting for twice as long as the last time, within bounds, as local resources are short.
+func (ln *Listener) backOff() {
+	ln.backoff = math.Min(math.Max(2*ln.backoff, minAcceptBackoff), maxAcceptBackoff)
+	ln.pauseFor(ln.backoff)
+}
+
+func (ln *Listener) onBackoffEnd() {
+	ln.resume()
+	if ln.draining { // epoll does not report an empty queue, which is what ends draining
+		ln.acceptWaiting()
+	}
 }
 
-// accept takes what waits, up to a bound for each turn.
-func (ln *Listener) accept() {
-	if !ln.behind {
-		ln.emptyAt = math.Max(ln.emptyAt, ln.l.heardTo)
+// acceptWaiting accepts the connections in the kernel's queue, up to maxAcceptsPerTurn.
+func (ln *Listener) acceptWaiting() {
+	if !ln.mayHaveWaiting {
+		ln.knownEmptyAt = math.Max(ln.knownEmptyAt, ln.loop.polls.previousUntil)
 	}
-	before := ln.l.Stats.Accepted.Load()
-	for i := range acceptTurn {
+	acceptedBefore := ln.loop.Stats.Accepted.Load()
+	for i := range maxAcceptsPerTurn {
 		if ln.fd < 0 || !ln.acceptOne(i == 0) {
 			return
 		}
 	}
-	if ln.behind = true; ln.l.Stats.Accepted.Load() == before { // nothing but failures: no busy loop
-		ln.restMore()
+	ln.mayHaveWaiting = true
+	if ln.loop.Stats.Accepted.Load() == acceptedBefore { // every accept failed: do not spin
+		ln.backOff()
 		return
 	}
 	if ln.draining {
-		ln.l.Defer(ln.accept)
+		ln.loop.Defer(ln.acceptWaiting)
 	}
 }
 
-// acceptOne takes one connection, and tells whether to go on. Where one is sure to wait, room is made for it.
-func (ln *Listener) acceptOne(sure bool) bool {
-	l := ln.l
-	if l.maxConns > 0 && l.conns >= l.maxConns {
-		ln.pause() // gone resumes
-		if ln.draining {
-			l.Start(&ln.timer, acceptRest)
-		}
+// acceptOne accepts one connection and reports whether to continue. known says that epoll has reported a waiting
+// connection and none has been accepted since; the owner is then asked to make room.
+func (ln *Listener) acceptOne(known bool) bool {
+	l := ln.loop
+	if !ln.hasCapacity(known) {
 		return false
 	}
-	if ln.Room != nil && !ln.Room(sure || ln.draining) {
-		if ln.behind = true; sure || ln.draining {
-			ln.pauseFor(roomRest)
-		}
-		return false
-	}
-	fd, sa, err := l.kernel.Accept(ln.fd)
+	fd, address, err := l.kernel.Accept(ln.fd)
 	switch err {
 	case nil:
+		ln.backoff = 0
+		l.Stats.Accepted.Add(1)
+		ln.openConn(fd, addrPort(address))
+		return true
 	case unix.EAGAIN:
-		ln.behind, ln.emptyAt = false, l.now
+		ln.mayHaveWaiting = false
+		ln.knownEmptyAt = l.now
 		if ln.draining {
 			ln.Close()
 		}
@@ -158,55 +163,51 @@
 		if l.releaseReserve() || l.OnDescriptorShortage != nil && l.OnDescriptorShortage() {
 			return true
 		}
-		ln.restMore()
+		ln.backOff()
 		return false
 	case unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
 		l.Stats.DescriptorShortages.Add(1)
-		ln.restMore()
+		ln.backOff()
 		return false
-	default: // the connection failed before it was accepted, ECONNABORTED and the like, or EINTR
+	default: // EINTR, or the connection failed before it was accepted (ECONNABORTED and others)
 		return true
 	}
-	ln.rest = 0
-	l.Stats.Accepted.Add(1)
-	ln.begin(fd, addrPort(sa))
-	return true
 }
 
-// restMore rests for longer each time, as what fails is the machine's.
-func (ln *Listener) restMore() {
-	ln.rest = math.Min(math.Max(2*ln.rest, acceptRest), acceptMost)
-	ln.pauseFor(ln.rest)
+// hasCapacity reports whether one more connection may be accepted, and otherwise pauses accepting if one is known to
+// wait.
+func (ln *Listener) hasCapacity(known bool) bool {
+	l := ln.loop
+	if l.maxConns > 0 && l.connCount >= l.maxConns {
+		ln.pause() // until Conn.release resumes it
+		if ln.draining {
+			l.Start(&ln.timer, minAcceptBackoff)
+		}
+		return false
+	}
+	makeRoom := known || ln.draining
+	if ln.Room != nil && !ln.Room(makeRoom) {
+		ln.mayHaveWaiting = true
+		if makeRoom {
+			ln.pauseFor(capacityBackoff)
+		}
+		return false
+	}
+	return true
 }
 
-// begin takes an accepted connection in.
-func (ln *Listener) begin(fd int, peer netip.AddrPort) {
-	l := ln.l
+// openConn creates the Conn of an accepted connection.
+func (ln *Listener) openConn(fd int, peer netip.AddrPort) {
+	l := ln.loop
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	c := &Conn{l: l, fd: fd, peer: peer, up: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP}
-	c.fallBehind(ln.emptyAt)
-	if c.h = ln.accepted(c); c.h == nil {
+	c := &Conn{loop: l, fd: fd, peer: peer, established: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP}
+	c.markUnread(ln.knownEmptyAt) // its first bytes may have arrived any time since
+	c.handler = ln.newHandler(c)
+	if c.handler == nil {
 		unix.Close(fd)
 		return
 	}
-	l.conns++
+	l.connCount++
 	l.Stats.Connections.Add(1)
-	l.enter(fd, c.interest, entry{c: c})
-}
-
-func sockaddr(a netip.AddrPort) (int, unix.Sockaddr) {
-	if a.Addr().Unmap().Is4() {
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().Unmap().As4()}
-	}
-	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}
-}
-
-func addrPort(sa unix.Sockaddr) netip.AddrPort {
-	switch sa := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(sa.Addr).Unmap(), uint16(sa.Port))
-	}
-	return netip.AddrPort{}
+	l.register(fd, c.interest, registration{conn: c})
 }
--- a/internal/httpconn/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -8,209 +8,174 @@
 	"mastchute/internal/rules"
 )
 
-// clientConn is one connection to the peer; it carries one call at a time.
+// bodyPieceBytes is the size of the pieces in which a request's body is written to the connection, so that no second copy
+// of a long body is held in memory.
+const bodyPieceBytes = 128 << 10
+
+// clientConn is one connection of a Pool. It carries one call at a time. It implements eventloop.Handler and
+// eventloop.WriteInterceptor.
 type clientConn struct {
-	pool   *Pool
-	conn   *eventloop.Conn
-	call   *Call
-	parser httpcodec.Parser
-	head   httpcodec.Head
-	body   httpcodec.Body
-	timer  eventloop.Timer
-	headed bool
-	used   bool // it has carried a call
+	pool         *Pool
+	tcp          *eventloop.Conn
+	call         *Call // nil while idle
+	parser       httpcodec.Parser
+	head         httpcodec.Head
+	body         httpcodec.BodyDecoder
+	timer        eventloop.Timer // idle timeout
+	headReceived bool            // the head of the response to call
+	hasCarried   bool            // a call has been sent on it
 }
 
-func (c *clientConn) expire() {
-	for i, o := range c.pool.idle {
-		if o == c {
-			c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
-			c.drop()
-			return
-		}
+// closeIdle closes the connection if it is idle.
+func (c *clientConn) closeIdle() {
+	if c.pool.removeIdle(c) {
+		c.close()
 	}
 }
 
-func (c *clientConn) drop() {
+// close closes the connection. The caller removes it from the idle ones.
+func (c *clientConn) close() {
+	c.forget()
+	c.tcp.Close()
+}
+
+// forget removes the connection from the pool's count.
+func (c *clientConn) forget() {
 	c.pool.Loop.Cancel(&c.timer)
-	delete(c.pool.all, c)
-	c.conn.Close()
+	delete(c.pool.conns, c)
 }
 
-// carry sends a call, unless it waited for too long.
+// carry sends a call on the connection, or ends it with ErrNotSent if it has waited for too long.
 func (c *clientConn) carry(call *Call) {
-	if !c.renew(call) {
-		c.call, call.conn = nil, nil
-		c.pool.abandon(call)
-		c.pool.next(c)
+	if c.refreshHead(call) {
+		c.send(call)
 		return
 	}
-	c.send(call)
+	c.call = nil
+	call.conn = nil
+	c.pool.failSoon(call)
+	c.pool.serveNext(c)
 }
 
-// renew has a call that waited written anew, and tells whether it may be sent.
-func (c *clientConn) renew(call *Call) bool {
+// refreshHead has the head of a call that has waited for too long rewritten, and reports whether the call may be sent.
+func (c *clientConn) refreshHead(call *Call) bool {
 	now := c.pool.Loop.Clock()
 	if call.SendDeadline > 0 && now > call.SendDeadline {
 		return false
 	}
-	r, ok := call.Handler.(HeadRewriter)
-	if !ok || now-call.built <= rules.MaxDeadlineAge {
+	rewriter, ok := call.Handler.(HeadRewriter)
+	if !ok || now-call.headBuiltAt <= rules.MaxDeadlineAge {
 		return true
 	}
-	head, ok := r.RewriteHead()
-	call.head, call.built = head, now
+	call.head, ok = rewriter.RewriteHead()
+	call.headBuiltAt = now
 	return ok
 }
 
-// BeforeWrite implements eventloop.WriteInterceptor: a request that waited, with none of it gone, is looked at once more.
-func (c *clientConn) BeforeWrite(conn *eventloop.Conn) {
+// BeforeWrite implements eventloop.WriteInterceptor. A request that has waited in the connection, with none of it sent, is
+// checked once more: its head is rewritten, or the request is withdrawn.
+func (c *clientConn) BeforeWrite(tcp *eventloop.Conn) {
 	call := c.call
-	if call == nil || call.SentAt == 0 || conn.SentBytes() > call.from || c.pool.Loop.Clock()-call.built <= rules.MaxDeadlineAge {
+	if call == nil || call.SentAt == 0 || tcp.SentBytes() > call.startOffset {
+		return
+	}
+	if c.pool.Loop.Clock()-call.headBuiltAt <= rules.MaxDeadlineAge {
 		return
 	}
-	if conn.Unwrite(call.from, conn.WrittenBytes()) {
-		call.body = call.whole
+	if tcp.Unwrite(call.startOffset, tcp.WrittenBytes()) {
+		call.unwrittenBody = call.fullBody
 		c.carry(call)
 	}
 }
 
 func (c *clientConn) send(call *Call) {
-	c.call, call.conn, c.headed, c.used = call, c, false, true
-	call.from, call.SentAt = c.conn.WrittenBytes(), c.pool.Loop.Now()
-	c.conn.Write(call.head)
-	c.more()
+	c.call = call
+	c.headReceived = false
+	c.hasCarried = true
+	call.conn = c
+	call.startOffset = c.tcp.WrittenBytes()
+	call.SentAt = c.pool.Loop.Now()
+	c.tcp.Write(call.head)
+	c.writeBodyPiece()
 }
 
-// bodyPiece is how much of a request's body is handed to the connection at a time, so that long ones are not held twice.
-const bodyPiece = 128 << 10
-
-// more writes the next piece of the request's body.
-func (c *clientConn) more() {
-	if call := c.call; len(call.body) > 0 {
-		n := min(len(call.body), bodyPiece)
-		c.conn.Write(call.body[:n])
-		if call.body = call.body[n:]; len(call.body) > 0 {
-			c.conn.NotifyFlushed()
-		}
+// writeBodyPiece writes the next piece of the request's body, if any.
+func (c *clientConn) writeBodyPiece() {
+	call := c.call
+	if len(call.unwrittenBody) == 0 {
+		return
+	}
+	n := min(len(call.unwrittenBody), bodyPieceBytes)
+	c.tcp.Write(call.unwrittenBody[:n])
+	call.unwrittenBody = call.unwrittenBody[n:]
+	if len(call.unwrittenBody) > 0 {
+		c.tcp.NotifyFlushed()
 	}
 }
 
+// Connected implements eventloop.Handler.
 func (c *clientConn) Connected(*eventloop.Conn) {
 	if c.call != nil {
 		c.carry(c.call)
 	} else {
-		c.pool.next(c)
+		c.pool.serveNext(c)
 	}
 }
 
+// Flushed implements eventloop.Handler.
 func (c *clientConn) Flushed(*eventloop.Conn) {
 	if c.call != nil {
-		c.more()
+		c.writeBodyPiece()
 	}
 }
 
+// Closed implements eventloop.Handler.
 func (c *clientConn) Closed(_ *eventloop.Conn, err error) {
-	c.pool.Loop.Cancel(&c.timer)
-	delete(c.pool.all, c)
-	if c.call == nil {
-		for i, o := range c.pool.idle {
-			if o == c {
-				c.pool.idle = append(c.pool.idle[:i], c.pool.idle[i+1:]...)
-				break
-			}
-		}
-		if c.pool.opt.OnConnectionLost != nil && c.used {
-			c.pool.opt.OnConnectionLost()
+	c.forget()
+	call := c.call
+	if call == nil {
+		c.pool.removeIdle(c)
+		if c.hasCarried {
+			c.notifyLost()
 		}
 		return
 	}
-	if err == io.EOF && c.headed && c.body.ReadsUntilClose() {
-		err = nil
-	} else if c.headed {
-		err = ErrTruncated
+	if c.headReceived {
+		complete := err == io.EOF && c.body.ReadsUntilClose()
+		if complete {
+			err = nil
+		} else {
+			err = ErrTruncated
+		}
 	}
-	call := c.call
 	c.call = nil
-	c.leave(call)
-	wrote := call.wrote
+	c.detach(call)
+	anyByteSent := call.anyByteSent // before ResponseDone, which may use the call again
 	call.Handler.ResponseDone(err)
-	if err != nil && wrote && c.pool.opt.OnConnectionLost != nil {
-		c.pool.opt.OnConnectionLost()
+	if err != nil && anyByteSent {
+		c.notifyLost()
 	}
-	c.pool.next(nil)
+	c.pool.serveNext(nil)
 }
 
-func (c *clientConn) Received(conn *eventloop.Conn, b []byte) int {
-	used := 0
-	for c.call != nil && conn.Open() {
-		if !c.headed {
-			n, err := c.parser.ParseResponse(b[used:], &c.head)
-			if err != nil {
-				c.fail(ErrMalformedResponse)
-				return len(b)
-			}
-			if n == 0 {
-				return used
-			}
-			used += n
-			if c.head.Status < 200 {
-				continue
-			}
-			c.headed = true
-			c.body.ResetResponse(&c.head, c.call.HEAD)
-			call := c.call
-			call.Handler.ResponseHead(&c.head)
-			if c.call != call {
-				return used
-			}
-		}
-		call := c.call
-		for !c.body.Done() {
-			data, n, err := c.body.Next(b[used:])
-			if err != nil {
-				c.fail(ErrMalformedResponse)
-				return len(b)
-			}
-			used += n
-			if len(data) > 0 {
-				if call.Handler.ResponseBody(data); c.call != call {
-					return used
-				}
-			}
-			if n == 0 || c.body.ReadsUntilClose() {
-				return used
-			}
-		}
-		// Whole. What stands behind it, or a request not wholly sent, spoils the connection for others.
-		reuse := !c.head.Close && used == len(b) && conn.UnsentBytes() == 0 && len(call.body) == 0
-		c.call = nil
-		c.leave(call)
-		call.Handler.ResponseDone(nil)
-		if reuse {
-			c.pool.next(c)
-		} else {
-			c.drop()
-			c.pool.next(nil)
-		}
-		return used
-	}
-	if c.call == nil && conn.Open() && len(b) > used { // unasked bytes
-		c.expire()
+func (c *clientConn) notifyLost() {
+	if c.pool.options.OnConnectionLost != nil {
+		c.pool.options.OnConnectionLost()
 	}
-	return len(b)
 }
 
-// leave parts a call that ends from its connection, which may go on with others.
-func (c *clientConn) leave(call *Call) {
-	call.wrote, call.conn = call.AnyByteSent(), nil
+// detach separates a call that ends from its connection, which may carry others afterwards.
+func (c *clientConn) detach(call *Call) {
+	call.anyByteSent = call.AnyByteSent()
+	call.conn = nil
 }
 
+// fail ends the call and the connection.
 func (c *clientConn) fail(err error) {
 	call := c.call
 	c.call = nil
-	c.drop()
-	c.leave(call)
+	c.close()
+	c.detach(call)
 	call.Handler.ResponseDone(err)
-	c.pool.next(nil)
+	c.pool.serveNext(nil)
 }
