--- /dev/null
+++ b/internal/emulator/fault.go
@@ -0,0 +1,222 @@
+package emulator
+
+import (
+	"maps"
+	"path"
+	"slices"
+)
+
+// Fault kinds, as scenario files and POST /fault name them.
+const (
+	FaultFastErrors   = "fast_errors"
+	FaultHang         = "hang"
+	FaultVanish       = "vanish"
+	FaultSlow         = "slow"
+	FaultPauses       = "pauses"
+	FaultAgeing       = "ageing"
+	FaultFlush        = "flush"
+	FaultReportLate   = "report_late"
+	FaultSlowConnect  = "slow_connect"
+	FaultRefuseTenant = "refuse_tenant"
+	FaultSilentGroup  = "silent_group"
+	FaultStoreSlow    = "store_slow"
+	FaultReset        = "reset"
+	FaultCut          = "cut"
+)
+
+// Kinds describes each kind of fault by its effect.
+var Kinds = map[string]string{
+	FaultFastErrors:   "answers 500 at once to a share of inferences",
+	FaultHang:         "accepts inferences and answers none",
+	FaultVanish:       "crashes, closes its connections and returns under its name in slow start",
+	FaultSlow:         "works slower by the factor",
+	FaultPauses:       "stands still for 0.3 s in every second",
+	FaultAgeing:       "works slower and slower, then crashes for 3 s",
+	FaultFlush:        "loses all copies and images, once",
+	FaultReportLate:   "repeats the load report of when the fault began",
+	FaultSlowConnect:  "answers nothing on a new connection for its first 0.2 s",
+	FaultRefuseTenant: "rejects one tenant's inferences as full",
+	FaultSilentGroup:  "accepts one model group's inferences and answers none",
+	FaultStoreSlow:    "the store is slower by the factor",
+	FaultReset:        "resets the connection in mid-response for a share of inferences",
+	FaultCut:          "truncates a share of the responses",
+}
+
+// FaultNames returns the names of all kinds of fault, sorted.
+func FaultNames() []string { return slices.Sorted(maps.Keys(Kinds)) }
+
+// Fault is a fault of one worker, of several workers or of the store. Its field names are the JSON keys of POST /fault.
+type Fault struct {
+	Kind   string  // one of Kinds
+	Worker string  // name or pattern; empty for all
+	Share  float64 // fraction of requests affected; 0 means all
+	Factor float64 // of slowness; 0 uses a default
+	Span   float64 // seconds; 0 uses a default
+	What   string  // the affected tenant or model group
+	since  float64
+	until  float64
+}
+
+const (
+	defaultFaultFactor   = 5.0
+	defaultFaultDuration = 5.0 // s
+	ageingOutage         = 3.0 // s that a worker is down after it aged
+)
+
+// InjectFault starts a fault that lasts its span. It returns false for an unknown kind or worker.
+func (f *Fleet) InjectFault(now float64, fault Fault) bool {
+	f.Advance(now)
+	if _, ok := Kinds[fault.Kind]; !ok {
+		return false
+	}
+	if fault.Factor <= 0 {
+		fault.Factor = defaultFaultFactor
+	}
+	if fault.Span <= 0 {
+		fault.Span = defaultFaultDuration
+	}
+	fault.since = now
+	fault.until = now + fault.Span
+	if fault.Kind == FaultStoreSlow {
+		f.storeFaults = append(f.storeFaults, fault)
+		f.storeChanged = true
+		f.updateStorePace()
+		return true
+	}
+	found := false
+	for _, w := range f.workers {
+		matched, _ := path.Match(fault.Worker, w.spec.Name)
+		if !matched && fault.Worker != "" {
+			continue
+		}
+		found = true
+		f.injectWorkerFault(now, w, fault)
+	}
+	return found
+}
+
+func (f *Fleet) injectWorkerFault(now float64, w *worker, fault Fault) {
+	f.beginChange(now, w)
+	defer f.endChange(w)
+	f.log(w, faultEvent(fault.Kind), nil)
+	switch fault.Kind {
+	case FaultVanish:
+		f.crash(w, fault.until)
+	case FaultFlush:
+		f.flush(w)
+	default:
+		w.faults[fault.Kind] = fault
+	}
+}
+
+// hasFault reports whether a fault of the kind is active at the worker.
+func (w *worker) hasFault(kind string) bool {
+	_, ok := w.faults[kind]
+	return ok
+}
+
+// hits draws whether a request is among the affected share of a fault.
+func (f *Fleet) hits(fault Fault) bool {
+	return fault.Share <= 0 || f.rnd.Float64() < fault.Share
+}
+
+// applyRequestFaults applies the worker's active faults to a request on arrival. It returns true if the request ended.
+// The order of the checks is part of the repeatable run: each may consume a random draw.
+func (f *Fleet) applyRequestFaults(w *worker, r *Request) bool {
+	if fault, ok := w.faults[FaultFastErrors]; ok && f.hits(fault) {
+		f.reject(w, r, Errored)
+		return true
+	}
+	if fault, ok := w.faults[FaultRefuseTenant]; ok && fault.What == r.Tenant {
+		f.reject(w, r, RejectedFull)
+		return true
+	}
+	if fault, ok := w.faults[FaultSilentGroup]; ok && fault.What == r.Group {
+		r.Silenced = true
+	}
+	if fault, ok := w.faults[FaultReset]; ok && f.hits(fault) {
+		r.ResetResponse = true
+	}
+	if fault, ok := w.faults[FaultCut]; ok && f.hits(fault) {
+		r.TruncateResponse = true
+	}
+	return false
+}
+
+// expireFaults removes the faults that are over. An aged worker crashes when its fault ends.
+func (f *Fleet) expireFaults(w *worker, now float64) {
+	for kind, fault := range w.faults {
+		if now < fault.until {
+			continue
+		}
+		delete(w.faults, kind)
+		if kind == FaultAgeing {
+			f.crash(w, now+ageingOutage)
+			return
+		}
+	}
+}
+
+// flush drops all idle copies and all images; running requests finish.
+func (f *Fleet) flush(w *worker) {
+	for _, c := range w.copies {
+		c.imageCached = false
+	}
+	for _, c := range w.active {
+		f.unloadIdle(w, c)
+		if len(c.waiting) > 0 && c.ready == 0 && !c.isLoading {
+			f.loadOrRejectWaiting(w, c)
+		}
+	}
+}
+
+// loadOrRejectWaiting loads a copy for the requests that wait for one, or rejects them if no load is possible.
+func (f *Fleet) loadOrRejectWaiting(w *worker, c *modelCopies) {
+	if f.startLoad(w, c) {
+		return
+	}
+	for _, r := range c.waiting {
+		w.held--
+		r.end(RejectedFull, f.now)
+		r.ModelState = LoadFailed
+		f.log(w, EventRejected, r)
+		f.finished = append(f.finished, r)
+	}
+	c.waiting = nil
+}
+
+// crash ends a worker's process with everything it held. The worker returns at the given time, empty and in slow start;
+// images survive if the worker caches them on disk.
+func (f *Fleet) crash(w *worker, returnAt float64) {
+	if !w.up {
+		return
+	}
+	w.up = false
+	w.returnAt = returnAt
+	f.log(w, EventCrashed, nil)
+	for _, c := range w.copies {
+		c.imageCached = c.imageCached && w.spec.Disk
+	}
+	for _, c := range w.active {
+		if c.fetching() {
+			f.fetching--
+			f.storeChanged = true
+		}
+		for _, r := range append(c.waiting, c.loadRequests...) {
+			r.end(WorkerLost, f.now)
+		}
+		*c = modelCopies{spec: c.spec, name: c.name, imageCached: c.imageCached}
+	}
+	for _, r := range w.running {
+		r.end(WorkerLost, f.now)
+	}
+	w.running = nil
+	w.active = nil
+	w.memory = 0
+	w.held = 0
+	w.recentWork = nil
+	clear(w.faults)
+	if f.OnWorkerDown != nil {
+		f.OnWorkerDown(w.index)
+	}
+}
--- /dev/null
+++ b/internal/emulator/fault_service.go
@@ -0,0 +1,38 @@
+package emulator
+
+import (
+	"encoding/json"
+
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
+)
+
+// faultService serves POST /fault, whose body is a Fault in JSON.
+type faultService struct{ emulator *Server }
+
+// HeadReceived implements httpconn.Service: bodies are read whole.
+func (fs *faultService) HeadReceived(*httpconn.Exchange) bool { return false }
+
+// RequestRefused implements httpconn.Service.
+func (fs *faultService) RequestRefused(*httpcodec.Error) {}
+
+// StreamWritable implements httpconn.Service.
+func (fs *faultService) StreamWritable(*httpconn.Exchange) {}
+
+// ClientGone implements httpconn.Service.
+func (fs *faultService) ClientGone(*httpconn.Exchange) {}
+
+// RequestReceived implements httpconn.Service.
+func (fs *faultService) RequestReceived(x *httpconn.Exchange) {
+	var fault Fault
+	err := json.Unmarshal(x.Body, &fault)
+	if err != nil || string(x.Head.Target) != "/fault" {
+		x.Problem(400, "write POST /fault with kind, worker, share, factor, span, what")
+		return
+	}
+	if !fs.emulator.injectFault(fault) {
+		x.Problem(404, "no such kind or worker")
+		return
+	}
+	x.FinishResponse(x.StartResponse(200), nil)
+}
--- /dev/null
+++ b/internal/emulator/loading.go
@@ -0,0 +1,140 @@
+package emulator
+
+import "math"
+
+// minLoadTime is the least duration of a fetch and of a boot, so that each is an event of its own.
+const minLoadTime = 1e-6 // s
+
+// acceptLoad handles a load request.
+func (f *Fleet) acceptLoad(w *worker, r *Request, spec *ModelSpec) {
+	f.log(w, EventLoadRequested, r)
+	if w.hasFault(FaultHang) {
+		r.Silenced = true
+		return
+	}
+	c := w.copiesOf(r.Model, spec)
+	c.idleSince = f.now
+	if c.ready >= r.Replicas {
+		r.Outcome = Served
+		r.EndedAt = f.now
+		r.Replicas = c.ready
+		return
+	}
+	if !c.isLoading && !f.startLoad(w, c) {
+		r.Outcome = RejectedFull
+		r.EndedAt = f.now
+		r.Replicas = c.ready
+		return
+	}
+	c.loadRequests = append(c.loadRequests, r)
+}
+
+// startLoad begins to load one more copy. It returns false if loads, memory or the store are at their limits.
+func (f *Fleet) startLoad(w *worker, c *modelCopies) bool {
+	loading := 0
+	for _, other := range w.active {
+		if other.isLoading {
+			loading++
+		}
+	}
+	if loading >= w.spec.Loads || !f.freeMemory(w, c) {
+		return false
+	}
+	if !c.imageCached && f.spec.Store.Limit > 0 && f.fetching >= f.spec.Store.Limit {
+		f.FetchesRejected++
+		return false
+	}
+	c.isLoading = true
+	c.bootLeft = math.Max(minLoadTime, c.spec.Boot)
+	c.fetchLeft = 0
+	w.memory += c.spec.MemoryMB
+	if !c.imageCached {
+		f.fetching++
+		f.storeChanged = true
+		f.Fetches++
+		c.fetchLeft = math.Max(minLoadTime, c.spec.Fetch)
+		f.log(w, EventFetchStarted, &Request{Model: c.name})
+	}
+	f.log(w, EventLoadStarted, &Request{Model: c.name})
+	return true
+}
+
+// freeMemory unloads the longest idle copies of other models until one more copy of c fits. It returns false if that is
+// not possible; copies that it unloaded by then stay unloaded.
+func (f *Fleet) freeMemory(w *worker, c *modelCopies) bool {
+	for w.memory+c.spec.MemoryMB > w.spec.MemoryMB {
+		var longestIdle *modelCopies
+		for _, other := range w.active {
+			if other == c || !other.idle() {
+				continue
+			}
+			if longestIdle == nil || other.idleSince < longestIdle.idleSince {
+				longestIdle = other
+			}
+		}
+		if longestIdle == nil {
+			return false
+		}
+		f.unloadOne(w, longestIdle)
+	}
+	return true
+}
+
+func (f *Fleet) unloadOne(w *worker, c *modelCopies) {
+	c.ready--
+	w.memory -= c.spec.MemoryMB
+	f.log(w, EventUnloaded, &Request{Model: c.name})
+}
+
+func (f *Fleet) unloadIdle(w *worker, c *modelCopies) {
+	for c.ready > c.busy {
+		f.unloadOne(w, c)
+	}
+}
+
+// Unload drops the idle copies of a model.
+func (f *Fleet) Unload(now float64, worker int, model string) {
+	w := f.workers[worker]
+	f.beginChange(now, w)
+	defer f.endChange(w)
+	if c := w.copies[model]; c != nil {
+		f.unloadIdle(w, c)
+	}
+}
+
+// advanceCopies moves a model's load and its idle copies on by elapsed seconds, during which the store was slower by the
+// given factor.
+func (f *Fleet) advanceCopies(w *worker, c *modelCopies, elapsed, storeSlowdown float64) {
+	switch {
+	case c.fetching():
+		c.fetchLeft -= elapsed / storeSlowdown
+		if c.fetchLeft <= finishedBelow {
+			c.fetchLeft = 0
+			f.fetching--
+			f.storeChanged = true
+		}
+	case c.isLoading:
+		c.bootLeft -= elapsed
+		if c.bootLeft <= finishedBelow {
+			f.finishLoad(w, c)
+		}
+	case w.spec.Keep > 0 && c.idle() && f.now >= c.idleSince+w.spec.Keep-finishedBelow:
+		f.unloadIdle(w, c)
+	}
+}
+
+func (f *Fleet) finishLoad(w *worker, c *modelCopies) {
+	c.isLoading = false
+	c.imageCached = true
+	c.ready++
+	c.idleSince = f.now
+	f.log(w, EventLoaded, &Request{Model: c.name})
+	for _, r := range c.loadRequests {
+		r.Outcome = Served
+		r.Replicas = c.ready
+		r.EndedAt = f.now
+		f.finished = append(f.finished, r)
+	}
+	c.loadRequests = nil
+	f.runWaiting(w, c)
+}
--- /dev/null
+++ b/internal/emulator/record.go
@@ -0,0 +1,67 @@
+package emulator
+
+// Event is the kind of an entry in the records. The values are part of the format of the records file.
+type Event string
+
+// The events, in the order in which a request may meet them.
+const (
+	EventStarted       Event = "start"   // a worker's process started
+	EventArrived       Event = "arrive"  // a request arrived
+	EventDuplicate     Event = "repeat"  // a duplicate of an idempotency key was dropped
+	EventRejected      Event = "turned"  // a request was rejected or answered with an error at once
+	EventRunning       Event = "ran"     // a request began to run
+	EventServed        Event = "served"  // a request finished
+	EventSilenced      Event = "silent"  // a request finished, and a fault withholds its response
+	EventStopped       Event = "stopped" // a cancelled request stopped
+	EventLoadRequested Event = "order"   // a load request arrived
+	EventFetchStarted  Event = "fetch"   // an image is fetched from the store
+	EventLoadStarted   Event = "load"    // a copy is loaded
+	EventLoaded        Event = "loaded"  // a copy is ready
+	EventUnloaded      Event = "unload"  // a copy was unloaded
+	EventOverloaded    Event = "fell"    // overload in slow start is about to crash a worker
+	EventCrashed       Event = "vanish"  // a worker's process ended
+	faultEventPrefix         = "fault-"
+)
+
+// faultEvent is the event of a fault that starts at a worker.
+func faultEvent(kind string) Event { return Event(faultEventPrefix + kind) }
+
+// Record is one line of the records: an event that a worker saw. T is in seconds since 1970.
+type Record struct {
+	T          float64    `json:"t"`
+	Worker     string     `json:"worker"`
+	Event      Event      `json:"event"`
+	Request    string     `json:"inference,omitempty"`
+	Attempt    int        `json:"forward,omitempty"`
+	Dispatcher string     `json:"dispatcher,omitempty"`
+	Key        string     `json:"key,omitempty"`
+	Group      string     `json:"group,omitempty"`
+	Model      string     `json:"model,omitempty"`
+	ModelState ModelState `json:"found,omitempty"`
+	Ran        bool       `json:"ran,omitempty"` // of a request that ended: it had begun to run
+	Why        string     `json:"why,omitempty"` // one of the Why constants
+}
+
+// The reasons in Record.Why and in the Mastchute-Why header.
+const (
+	WhyFull  = "full"
+	WhyMiss  = "miss"
+	WhyError = "error" // in records only
+)
+
+// SetRequest fills in what the request itself holds.
+func (rec *Record) SetRequest(r *Request) {
+	rec.Model = r.Model
+	rec.Group = r.Group
+	rec.Key = r.IdempotencyKey
+	rec.ModelState = r.ModelState
+	rec.Ran = r.StartedAt > 0
+	switch r.Outcome {
+	case RejectedFull:
+		rec.Why = WhyFull
+	case RejectedMiss:
+		rec.Why = WhyMiss
+	case Errored:
+		rec.Why = WhyError
+	}
+}
--- /dev/null
+++ b/internal/emulator/worker.go
@@ -0,0 +1,157 @@
+package emulator
+
+import "math"
+
+// modelCopies are the copies of one model on one worker. At most one copy loads at a time.
+type modelCopies struct {
+	spec         *ModelSpec
+	name         string
+	ready        int     // loaded copies
+	busy         int     // requests that run in them
+	isLoading    bool    // one more copy is being loaded
+	fetchLeft    float64 // seconds of its fetch at full speed; 0 once it is fetched
+	bootLeft     float64 // seconds until it is ready after the fetch
+	idleSince    float64
+	waiting      []*Request
+	loadRequests []*Request // answered when the load completes
+	imageCached  bool       // a load needs no fetch
+	isActive     bool       // listed in worker.active
+}
+
+// fetching reports whether the copy that loads is still being fetched from the store.
+func (c *modelCopies) fetching() bool { return c.isLoading && c.fetchLeft > 0 }
+
+// idle reports whether a ready copy is unused and nothing waits for it.
+func (c *modelCopies) idle() bool { return c.ready > c.busy && len(c.waiting) == 0 }
+
+// hasLane reports whether another request can run.
+func (c *modelCopies) hasLane() bool { return c.busy < c.ready*max(1, c.spec.Lanes) }
+
+// worker is the state of one emulated worker. It has a time of its own, which Fleet brings up to date when something
+// happens to the worker.
+type worker struct {
+	spec       WorkerSpec
+	index      int
+	up         bool
+	overloaded bool // crashed by overload in slow start, for good
+	startAt    float64
+	returnAt   float64 // when a crashed worker is up again; +Inf for never
+
+	copies     map[string]*modelCopies
+	active     []*modelCopies // those with copies, loads or waiting requests, in a fixed order
+	running    []*Request
+	memory     float64
+	held       int // requests that wait or run
+	recentWork []workSample
+	faults     map[string]Fault // by kind
+
+	updatedAt  float64 // the worker's own time
+	nextAt     float64 // when something next happens to it
+	agendaSlot int
+
+	reportAt       float64
+	reportInFlight float64
+	reportQueued   float64
+}
+
+func newWorker(index int, spec WorkerSpec, cold bool) *worker {
+	w := &worker{spec: spec, index: index, up: true, copies: map[string]*modelCopies{}, faults: map[string]Fault{},
+		returnAt: math.Inf(1), nextAt: math.Inf(1)}
+	if !cold {
+		w.startAt = longAgo
+	}
+	return w
+}
+
+// longAgo is a start time before any slow start.
+const longAgo = -1e6
+
+// queued returns the number of requests that wait.
+func (w *worker) queued() int { return w.held - len(w.running) }
+
+// copiesOf returns the copies of a model and lists them as active.
+func (w *worker) copiesOf(name string, spec *ModelSpec) *modelCopies {
+	c := w.copies[name]
+	if c == nil {
+		c = &modelCopies{spec: spec, name: name}
+		w.copies[name] = c
+	}
+	if !c.isActive {
+		c.isActive = true
+		w.active = append(w.active, c)
+	}
+	return c
+}
+
+// capacity is the fraction of its full capacity that a worker has at a time.
+func (w *worker) capacity(now float64) float64 {
+	age := now - w.startAt
+	if age < w.spec.WarmAfter {
+		return w.spec.ColdShare + (1-w.spec.ColdShare)*age/w.spec.WarmAfter
+	}
+	return 1
+}
+
+// requestSpeed is the speed of each running request at a time, 1 for an unshared core of speed 1.
+func (w *worker) requestSpeed(now float64) float64 {
+	n := float64(len(w.running))
+	if n == 0 || !w.up {
+		return 0
+	}
+	speed := w.spec.Speed * math.Min(1, w.spec.Cores*w.capacity(now)/n)
+	if fault, ok := w.faults[FaultSlow]; ok {
+		speed /= fault.Factor
+	}
+	if fault, ok := w.faults[FaultAgeing]; ok {
+		speed /= 1 + (fault.Factor-1)*(now-fault.since)/fault.Span
+	}
+	if w.hasFault(FaultPauses) && math.Mod(now, 1) < 0.3 {
+		speed = 0
+	}
+	if w.hasFault(FaultHang) {
+		speed = 0
+	}
+	return speed
+}
+
+// fetching reports whether the worker fetches from the store.
+func (w *worker) fetching() bool {
+	for _, c := range w.active {
+		if c.fetching() {
+			return true
+		}
+	}
+	return false
+}
+
+// workSample is work sent to a worker in slow start.
+type workSample struct{ at, work float64 }
+
+// minOverloadSamples is the number of requests below which no overload is recognized.
+const minOverloadSamples = 3
+
+// recordWork counts work sent to a worker in slow start; too much of it within the overload window crashes the worker.
+func (f *Fleet) recordWork(w *worker, work float64) {
+	if f.now-w.startAt >= w.spec.WarmAfter || w.spec.Overload <= 0 {
+		w.recentWork = w.recentWork[:0]
+		return
+	}
+	w.recentWork = append(w.recentWork, workSample{f.now, work})
+	for len(w.recentWork) > 0 && w.recentWork[0].at < f.now-w.spec.Fall {
+		w.recentWork = w.recentWork[1:]
+	}
+	if len(w.recentWork) < minOverloadSamples {
+		return
+	}
+	sum := 0.0
+	for _, s := range w.recentWork {
+		sum += s.work
+	}
+	limit := w.spec.Overload * w.capacity(f.now) * w.spec.Cores * w.spec.Speed * w.spec.Fall
+	f.PeakOverload = math.Max(f.PeakOverload, sum/limit)
+	if sum > limit {
+		w.overloaded = true
+		f.log(w, EventOverloaded, nil)
+		f.crash(w, math.Inf(1))
+	}
+}
--- a/internal/lab/day.go
+++ b/internal/lab/day.go
@@ -262,15 +262,15 @@
 	s := emulator.Spec{Seed: d.Seed, Store: emulator.StoreSpec{Slots: f.StoreSlots, Limit: f.StoreLimit}}
 	for i, n := range d.workerNames() {
 		s.Workers = append(s.Workers, emulator.WorkerSpec{Name: n, Zone: fmt.Sprintf("z%d", i%f.Zones+1), Cores: f.Cores, Speed: f.Speed,
-			MemoryMB: f.Memory.MB(), Queue: f.Queue, Loads: f.Loads, OnMiss: d.Settings.Loads.OnMiss, Keep: f.Keep.Seconds, Disk: f.Disk,
+			MemoryMB: f.Memory.MB(), Queue: f.Queue, Loads: f.Loads, OnMiss: emulator.MissPolicy(d.Settings.Loads.OnMiss), Keep: f.Keep.Seconds, Disk: f.Disk,
 			StopsCancelled: f.StopsCancelled, ColdShare: r.ColdShare, WarmAfter: r.WarmAfter.Seconds, Overload: r.OverloadFactor,
 			Fall: r.Fall.Seconds})
 	}
 	for _, m := range d.Models {
 		s.Models = append(s.Models, emulator.ModelSpec{Name: m.Name + "-*", Group: m.Group, MemoryMB: m.Memory.MB(), Lanes: m.Lanes,
 			Work: m.Work.Seconds, Fetch: m.Fetch.Seconds, Boot: m.Boot.Seconds, Deduped: groups[m.Group].Effect == "deduped",
-			Window: groups[m.Group].Window.Seconds, Scope: groups[m.Group].Scope,
-			AnswerBytes: int(m.Answer.Bytes)})
+			DedupWindow: groups[m.Group].Window.Seconds, DedupScope: emulator.DedupScope(groups[m.Group].Scope),
+			ResponseBytes: int(m.Answer.Bytes)})
 	}
 	return s
 }
--- a/internal/lab/judge_test.go
+++ b/internal/lab/judge_test.go
@@ -30,7 +30,7 @@
 		inf := func(w string) (r emulator.Record) {
 			id, n, _ := strings.Cut(w, ".")
 			fmt.Sscan(n, &r.Attempt)
-			r.Request, r.T, r.Event, r.Worker, r.Group, r.Dispatcher = id, at, f[0], f[3], f[4], f[5]
+			r.Request, r.T, r.Event, r.Worker, r.Group, r.Dispatcher = id, at, emulator.Event(f[0]), f[3], f[4], f[5]
 			if r.Dispatcher == "" {
 				r.Dispatcher = "d0"
 			}
@@ -49,7 +49,7 @@
 			r.Key, r.Dispatcher = f[5], "d0"
 			e.Records = append(e.Records, r)
 		case "start", "fell":
-			e.Records = append(e.Records, emulator.Record{T: at, Event: f[0], Worker: f[2]})
+			e.Records = append(e.Records, emulator.Record{T: at, Event: emulator.Event(f[0]), Worker: f[2]})
 		case "order":
 			e.Records = append(e.Records, emulator.Record{T: at, Event: "order", Worker: f[2], Dispatcher: f[3]})
 		case "try":
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -9,6 +9,8 @@
 	"text/tabwriter"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"mastchute/internal/emulator"
 )
 
 // Report is what a day came to. Service and latency are by logical call: from a client's first try to the answer
@@ -150,11 +152,11 @@
 		case "arrive":
 			rep.Attempts++
 		case "served":
-			if rep.Served++; r.Found == "warm" {
+			if rep.Served++; r.ModelState == emulator.ModelWarm {
 				warm++
 			}
 			if r.T > half {
-				if servedLate++; r.Found == "warm" {
+				if servedLate++; r.ModelState == emulator.ModelWarm {
 					warmLate++
 				}
 			}
--- a/internal/lab/simactions.go
+++ b/internal/lab/simactions.go
@@ -30,7 +30,7 @@
 			}
 		})
 	}
-	f.req = emulator.Req{Owner: f, Model: q.model.name, Tenant: q.tenant, Key: q.key, Until: q.notAfter}
+	f.req = emulator.Request{Owner: f, Model: q.model.name, Tenant: q.tenant, IdempotencyKey: q.key, Deadline: q.notAfter}
 	f.end = func(t *told) {
 		h.heard(f.worker, t)
 		if t.lost {
@@ -72,7 +72,7 @@
 		return
 	}
 	f := &simAttempt{h: h, worker: s.worker(w.Name), made: s.now}
-	f.req = emulator.Req{Owner: f, Model: name, Order: 1, Copies: copies}
+	f.req = emulator.Request{Owner: f, Model: name, IsLoad: true, Replicas: copies}
 	life := h.life
 	tell := func(r control.Result, copies int) {
 		if f.done || h.life != life {
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -94,7 +94,7 @@
 	index    int
 	worker   int
 	made     float64
-	req      emulator.Req
+	req      emulator.Request
 	answered bool // by the worker, or its connection is lost
 	done     bool
 	end      func(*told)
@@ -121,8 +121,8 @@
 	h.event(func() {
 		h.members.Replace(membership.SourceConfig, list, 0)
 		for i, w := range s.spec.Workers {
-			if s.fleet.Up(i) {
-				h.members.ObserveStart(h.members.ByName(w.Name), simEpoch+s.fleet.Start(i), s.fleet.Start(i)-h.origin, 0)
+			if s.fleet.IsUp(i) {
+				h.members.ObserveStart(h.members.ByName(w.Name), simEpoch+s.fleet.StartTime(i), s.fleet.StartTime(i)-h.origin, 0)
 			}
 		}
 		if cfg.Roster.Discovery == "push" {
@@ -217,7 +217,7 @@
 	s, life := h.s, h.life
 	s.message(func() {
 		t := &told{result: control.ConnectFailed}
-		if s.fleet.Up(i) {
+		if s.fleet.IsUp(i) {
 			t = s.tells(i)
 		}
 		s.message(func() {
--- a/internal/lab/simulated.go
+++ b/internal/lab/simulated.go
@@ -100,11 +100,11 @@
 	for _, w := range spec.Workers {
 		s.e.Zones[w.Name], s.e.Cells[w.Name] = w.Zone, w.Cell
 	}
-	s.fleet.Log = s.log
-	s.fleet.Vanished = s.vanished
+	s.fleet.OnEvent = s.log
+	s.fleet.OnWorkerDown = s.vanished
 	if day.Fleet.Cold {
 		for _, w := range spec.Workers {
-			s.log(0, w.Name, "start", nil)
+			s.log(0, w.Name, emulator.EventStarted, nil)
 		}
 	}
 	for i := range day.Dispatchers {
@@ -119,7 +119,7 @@
 		if n&1023 == 0 && ctx.Err() != nil {
 			break
 		}
-		if next := s.fleet.Next(); next < s.queue[0].at {
+		if next := s.fleet.NextEvent(); next < s.queue[0].at {
 			s.now = next
 			s.fleet.Advance(next)
 		} else {
@@ -127,7 +127,7 @@
 			s.now = e.at
 			e.f()
 		}
-		for _, r := range s.fleet.TakeDone() {
+		for _, r := range s.fleet.TakeFinished() {
 			if f, ok := r.Owner.(*simAttempt); ok {
 				s.answer(f)
 			}
@@ -143,14 +143,14 @@
 		rep.Exits = append(rep.Exits, 0)
 	}
 	rep.fill(day, s.e)
-	rep.Findings[3].Nearest = s.fleet.Nearest
+	rep.Findings[3].Nearest = s.fleet.PeakOverload
 	return s.e, rep
 }
 
-func (s *sim) log(now float64, w, event string, r *emulator.Req) {
+func (s *sim) log(now float64, w string, event emulator.Event, r *emulator.Request) {
 	rec := emulator.Record{T: simEpoch + now, Worker: w, Event: event}
 	if r != nil {
-		rec.Of(r)
+		rec.SetRequest(r)
 		if f, ok := r.Owner.(*simAttempt); ok && f.h != nil {
 			rec.Dispatcher = f.h.name
 			if f.request != nil {
@@ -262,7 +262,7 @@
 func (s *sim) schedule() {
 	for _, t := range s.day.Troubles {
 		s.at(t.At.Seconds, func() {
-			s.fleet.Set(s.now, emulator.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
+			s.fleet.InjectFault(s.now, emulator.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
 		})
 	}
 	for _, k := range s.day.Kills {
--- a/internal/lab/simworkers.go
+++ b/internal/lab/simworkers.go
@@ -28,7 +28,7 @@
 // send carries an attempt or an order to its worker. A connection to a worker that is down does not come about; one
 // that was under way when the worker went is reset.
 func (s *sim) send(f *simAttempt) {
-	was, up := s.fleet.Start(f.worker), s.fleet.Up(f.worker)
+	was, up := s.fleet.StartTime(f.worker), s.fleet.IsUp(f.worker)
 	arrive := func() {
 		switch {
 		case f.done: // called off on its way; the worker sees a closed connection
@@ -37,19 +37,19 @@
 			f.answered = true
 			s.message(func() { f.end(&told{result: control.ConnectFailed, crowd: -1}) })
 			return
-		case !s.fleet.Up(f.worker) || s.fleet.Start(f.worker) != was:
+		case !s.fleet.IsUp(f.worker) || s.fleet.StartTime(f.worker) != was:
 			f.answered = true
 			s.message(func() { f.end(&told{lost: true, crowd: -1}) })
 			return
 		}
 		s.sends[f.worker] = append(s.sends[f.worker], f)
-		s.fleet.Arrive(s.now, f.worker, &f.req)
-		if f.req.Verdict != emulator.Open {
+		s.fleet.Submit(s.now, f.worker, &f.req)
+		if f.req.Outcome != emulator.Pending {
 			s.answer(f)
 		}
 	}
 	s.message(func() {
-		if s.fleet.Has(f.worker, "slow_connect") {
+		if s.fleet.HasFault(f.worker, emulator.FaultSlowConnect) {
 			s.after(0.2, arrive)
 			return
 		}
@@ -79,8 +79,8 @@
 
 // tells is what every answer of a worker tells.
 func (s *sim) tells(i int) *told {
-	t := &told{result: control.Succeeded, crowd: -1, start: simEpoch + s.fleet.Start(i)}
-	in, queue := s.fleet.Report(i)
+	t := &told{result: control.Succeeded, crowd: -1, start: simEpoch + s.fleet.StartTime(i)}
+	in, queue := s.fleet.LoadReport(i)
 	for _, f := range s.day.Settings.Report {
 		switch f {
 		case "inflight":
@@ -98,24 +98,25 @@
 // answer sends a worker's answer on its way.
 func (s *sim) answer(f *simAttempt) {
 	r := &f.req
-	if f.answered || r.Verdict == emulator.Silent || r.Verdict == emulator.Dead {
+	if f.answered || r.Outcome == emulator.Unanswered || r.Outcome == emulator.WorkerLost {
 		return
 	}
 	s.drop(f)
 	t := s.tells(f.worker)
-	t.copies = r.Copies
-	switch r.Verdict {
+	t.copies = r.Replicas
+	switch r.Outcome {
 	case emulator.Served:
-		t.crowd = r.Crowd
-		t.found = map[string]control.ModelState{"warm": control.ModelWarm, "began": control.LoadStarted, "awaited": control.LoadAwaited}[r.Found]
-		t.lost = r.Reset || r.Cut
-	case emulator.TurnFull:
-		if t.result = control.AtCapacity; r.Found == "failed" {
+		t.crowd = r.SameModelInFlight
+		t.found = map[emulator.ModelState]control.ModelState{emulator.ModelWarm: control.ModelWarm, emulator.LoadStarted: control.LoadStarted,
+			emulator.LoadAwaited: control.LoadAwaited}[r.ModelState]
+		t.lost = r.ResetResponse || r.TruncateResponse
+	case emulator.RejectedFull:
+		if t.result = control.AtCapacity; r.ModelState == emulator.LoadFailed {
 			t.found = control.LoadFailed
 		}
-	case emulator.TurnMiss:
+	case emulator.RejectedMiss:
 		t.result = control.ModelNotLoaded
-	case emulator.Broke:
+	case emulator.Errored:
 		t.result = control.WorkerError
 	}
 	s.message(func() { f.end(t) })
