--- /dev/null
+++ b/internal/soak/connection.go
@@ -0,0 +1,203 @@
+package soak
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	dialTimeout       = time.Second
+	maxInFlight       = 8 // requests of one connection
+	healthDialTimeout = 300 * time.Millisecond
+	healthTimeout     = 500 * time.Millisecond
+)
+
+// clientConn is one connection of a client to a dispatcher. Its own goroutine reads responses.
+type clientConn struct {
+	net     net.Conn
+	history *history
+
+	mu         sync.Mutex
+	seq        int32
+	inFlight   map[int32]*request
+	closed     bool
+	halfClosed bool // the client closed its side and still reads
+	answered   bool // at least once
+}
+
+func dialDispatcher(address string, h *history) (*clientConn, error) {
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	cc := &clientConn{net: conn, history: h, inFlight: map[int32]*request{}}
+	go cc.readResponses()
+	return cc, nil
+}
+
+// readResponses reads responses until the connection ends.
+func (cc *clientConn) readResponses() {
+	for {
+		frame, err := readFrame(cc.net)
+		now := cc.history.now()
+		if err != nil {
+			cc.connectionEnded(now, errors.Is(err, io.ErrUnexpectedEOF))
+			return
+		}
+		r, err := decodeResponse(frame)
+		cc.mu.Lock()
+		req := cc.inFlight[r.seq]
+		closed := cc.closed
+		cc.answered = true
+		delete(cc.inFlight, r.seq)
+		cc.mu.Unlock()
+		if closed { // by the client a moment ago
+			continue
+		}
+		cc.recordResponse(r, err, req, now)
+	}
+}
+
+func (cc *clientConn) recordResponse(r response, decodeErr error, req *request, now float64) {
+	if decodeErr != nil {
+		cc.history.addUnexpected("an answer that can't be read: " + decodeErr.Error())
+		return
+	}
+	if req == nil {
+		cc.history.addUnexpected(fmt.Sprintf("an answer to number %d, which is not open", r.seq))
+		return
+	}
+	cc.history.update(func() {
+		if req.Outcome == pending {
+			req.Outcome = r.outcome
+			req.EndedAt = now
+			req.Body = r.body
+		}
+	})
+}
+
+// connectionEnded records that the requests in flight have no response.
+func (cc *clientConn) connectionEnded(now float64, truncated bool) {
+	cc.net.Close()
+	cc.mu.Lock()
+	requests := cc.inFlight
+	cc.inFlight = map[int32]*request{}
+	cc.closed = true
+	carriedOthers := cc.seq > 1
+	cc.mu.Unlock()
+	cc.history.update(func() {
+		for _, req := range requests {
+			if req.Outcome != pending {
+				continue
+			}
+			req.Outcome = Closed
+			req.EndedAt = now
+			req.WasIdle = len(requests) == 1 && carriedOthers
+			if truncated {
+				req.Outcome = Malformed
+			}
+		}
+	})
+}
+
+// register takes a request in flight. It returns false if the connection takes none any more.
+func (cc *clientConn) register(req *request) (seq int32, isNew, ok bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed || cc.halfClosed {
+		return 0, false, false
+	}
+	cc.seq++
+	cc.inFlight[cc.seq] = req
+	return cc.seq, !cc.answered, true
+}
+
+// usable reports whether the connection takes requests, and how many are in flight.
+func (cc *clientConn) usable() (usable bool, inFlight int) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return !cc.closed && !cc.halfClosed, len(cc.inFlight)
+}
+
+// disconnect closes the connection from the client's side; all requests in flight are given up.
+func (cc *clientConn) disconnect() {
+	now := cc.history.now()
+	cc.mu.Lock()
+	requests := cc.inFlight
+	cc.inFlight = map[int32]*request{}
+	cc.closed = true
+	cc.mu.Unlock()
+	cc.net.Close()
+	closedAt := cc.history.now()
+	cc.history.update(func() {
+		for _, req := range requests {
+			if req.Outcome == pending {
+				req.Outcome = ClientLeft
+				req.LeftAt = closedAt
+				req.EndedAt = now
+			}
+		}
+	})
+}
+
+// halfClose closes the client's side. Requests in flight are still owed their response, and no new attempt.
+func (cc *clientConn) halfClose() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed || cc.halfClosed {
+		return
+	}
+	cc.halfClosed = true
+	cc.net.(*net.TCPConn).CloseWrite()
+	now := cc.history.now()
+	cc.history.update(func() {
+		for _, req := range cc.inFlight {
+			req.LeftAt = now
+		}
+	})
+}
+
+// cancel sends a cancel for a request that is in flight. Its response may cross the cancel, so its number stays open.
+func (cc *clientConn) cancel(req *request, seq int32) {
+	cc.mu.Lock()
+	_, inFlight := cc.inFlight[seq]
+	halfClosed := cc.halfClosed
+	cc.mu.Unlock()
+	if !inFlight || halfClosed {
+		return
+	}
+	now := cc.history.now()
+	_, err := cc.net.Write(cancelMessage(seq, seq))
+	sentAt := cc.history.now()
+	cc.history.update(func() {
+		if req.Outcome == pending && err == nil {
+			req.Outcome = ClientLeft
+			req.EndedAt = now
+			req.LeftAt = sentAt
+		}
+	})
+}
+
+// isHealthy reports whether a dispatcher answers a health check positively.
+func isHealthy(address string) bool {
+	conn, err := net.DialTimeout("tcp", address, healthDialTimeout)
+	if err != nil {
+		return false
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(healthTimeout))
+	if _, err := conn.Write(healthCheckMessage(1)); err != nil && !errors.Is(err, syscall.EPIPE) {
+		return false
+	}
+	frame, err := readFrame(conn)
+	if err != nil {
+		return false
+	}
+	r, err := decodeResponse(frame)
+	return err == nil && r.outcome == Served && r.healthy
+}
--- /dev/null
+++ b/internal/soak/coverage.go
@@ -0,0 +1,50 @@
+package soak
+
+import (
+	"slices"
+	"sort"
+	"strings"
+)
+
+// coverageMargin is the time after a fault within which a request still counts as having met it.
+const coverageMargin = 0.2 // s
+
+// coverage counts the requests that met each kind of fault, and each two kinds at once. The caller holds the history's
+// lock.
+func (r *runner) coverage() map[string]int {
+	count := map[string]int{}
+	for _, req := range r.history.Requests {
+		kinds := r.kindsMet(req)
+		for i, a := range kinds {
+			count[a]++
+			for _, b := range kinds[i+1:] {
+				count[a+" x "+b]++
+			}
+		}
+	}
+	return count
+}
+
+// kindsMet returns the kinds of fault that a request met, sorted.
+func (r *runner) kindsMet(req *request) []string {
+	var kinds []string
+	for _, f := range r.plan.Troubles {
+		concurrent := req.SentAt < f.To+coverageMargin && max(req.EndedAt, req.SentAt) > f.From
+		if concurrent && r.affects(f, req) && !slices.Contains(kinds, string(f.Kind)) {
+			kinds = append(kinds, string(f.Kind))
+		}
+	}
+	sort.Strings(kinds)
+	return kinds
+}
+
+// affects reports whether a fault is one of the request's dispatcher or of a worker that got an attempt of it.
+func (r *runner) affects(f Fault, req *request) bool {
+	if f.Kind.targetsAll() {
+		return true
+	}
+	if !f.Kind.targetsWorker() {
+		return f.Target == req.Dispatcher
+	}
+	return slices.ContainsFunc(r.history.Attempts[req.ID], func(a *attempt) bool { return strings.HasPrefix(a.Worker, workerIDPrefix(f.Target)) })
+}
--- /dev/null
+++ b/internal/soak/draw.go
@@ -0,0 +1,146 @@
+package soak
+
+import (
+	"math/rand/v2"
+
+	"golang.org/x/sys/unix"
+
+	"mastchute/internal/syscalls/faults"
+)
+
+const (
+	firstFaultAt      = 0.7 // s
+	secondsPerFault   = 0.4 // s of the plan's span for each fault
+	manyDispatchers   = 6   // beyond which there are twice as many faults
+	minKindsOfFaults  = 2
+	defaultFaultSpan  = 0.05 // s of faults that are events
+	readChunk         = 7    // bytes of a short read
+	writeChunk        = 11   // bytes of a short write
+	drawStream        = 7    // of the random source
+	clockStepBase     = 1.0  // s
+	clockStepVariable = 2.0  // s
+)
+
+func pick[T any](rnd *rand.Rand, of ...T) T { return of[rnd.IntN(len(of))] }
+
+// Draw draws a plan from a seed. Each run leaves some kinds of fault out, so that the others meet more often.
+func Draw(seed uint64, b Bounds) Plan {
+	rnd := rand.New(rand.NewPCG(seed, drawStream))
+	p := Plan{Seed: seed, Span: b.Span, Site: drawSite(rnd, b)}
+	kinds := drawKinds(rnd, b)
+	count := int(b.Span / secondsPerFault)
+	if b.Dispatchers > manyDispatchers {
+		count *= 2
+	}
+	for range count {
+		p.Troubles = append(p.Troubles, drawFault(rnd, pick(rnd, kinds...), p.Site, b.Span))
+	}
+	return p
+}
+
+func drawSite(rnd *rand.Rand, b Bounds) Site {
+	return Site{Dispatchers: b.Dispatchers, Workers: 4 + rnd.IntN(6), Deadline: pick(rnd, 0.1, 0.25, 0.6, 1.2, 2.5), Window: pick(rnd, 0.05, 0.2, 1, 3),
+		Grace: pick(rnd, 0.3, 1), ConnectTimeout: pick(rnd, 0.02, 0.05, 0.25, 1, 5), ConnIdle: pick(rnd, 0.6, 5, 15), Streams: pick(rnd, 1, 4, 32),
+		Sockets: pick(rnd, 64, 128, 256), RetryAfter: rnd.IntN(2) == 0, Hedge: rnd.IntN(4) > 0, Cancel: true}
+}
+
+func drawKinds(rnd *rand.Rand, b Bounds) []Kind {
+	if len(b.Only) > 0 {
+		return b.Only
+	}
+	var kinds []Kind
+	for _, k := range Kinds {
+		if rnd.IntN(2) == 0 && (b.Shims || !k.needsFaultyBuild()) {
+			kinds = append(kinds, k)
+		}
+	}
+	if len(kinds) < minKindsOfFaults {
+		return []Kind{Terminate, Standstill, WorkerResets}
+	}
+	return kinds
+}
+
+// drawFault draws one fault. The order of the draws is part of the plan of a seed.
+func drawFault(rnd *rand.Rand, kind Kind, s Site, span float64) Fault {
+	f := Fault{Kind: kind, Target: rnd.IntN(s.Dispatchers), From: firstFaultAt + rnd.Float64()*(span-firstFaultAt)}
+	if kind.targetsWorker() {
+		f.Target = rnd.IntN(s.Workers)
+	}
+	length := 0.1 + 0.9*rnd.Float64()
+	switch kind {
+	case Standstill:
+		length = pick(rnd, 0.2, 0.6, 1.1)
+	case ClockStep:
+		f.Amount = pick(rnd, -3600.0, -4, 4, 3600)
+		length = clockStepBase + clockStepVariable*rnd.Float64()
+	case WorkerLeaves, Terminate, Kill, Reload:
+		length = defaultFaultSpan
+	case LogFails:
+		f.Amount = float64(rnd.IntN(logFailModes))
+		length = 0.3 + 1.5*rnd.Float64()
+	default:
+		f.Errno, f.Amount = drawErrno(rnd, kind)
+	}
+	f.To = f.From + length
+	return f
+}
+
+// drawErrno draws the error and the probability of failing system calls, zeros for other kinds.
+func drawErrno(rnd *rand.Rand, kind Kind) (errno unix.Errno, probability float64) {
+	switch kind {
+	case AcceptFails:
+		errno = pick(rnd, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ECONNABORTED, unix.EINTR, unix.EPROTO)
+		return errno, pick(rnd, 0.5, 1)
+	case ConnectFails:
+		errno = pick(rnd, unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.EINTR, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EAGAIN, unix.ECONNREFUSED)
+		return errno, pick(rnd, 0.5, 1)
+	case SocketFails:
+		errno = pick(rnd, unix.ENFILE, unix.ENOBUFS, unix.EMFILE)
+		return errno, pick(rnd, 0.5, 1)
+	case ReadFails:
+		errno = pick(rnd, unix.EINTR, unix.EINTR, unix.ENOMEM, unix.ENOBUFS)
+		return errno, pick(rnd, 0.3, 0.9)
+	case WriteFails:
+		errno = pick(rnd, unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM)
+		return errno, pick(rnd, 0.3, 0.9)
+	case EpollFails:
+		errno = pick(rnd, unix.ENOMEM, unix.ENOSPC)
+		return errno, pick(rnd, 0.5, 1)
+	case FileFails:
+		return pick(rnd, unix.EIO, unix.EMFILE, unix.EINTR, unix.ENOMEM), 1
+	}
+	return 0, 0
+}
+
+// failingCalls names the system call that fails with an error during a fault.
+var failingCalls = map[Kind]faults.Call{
+	AcceptFails:  faults.Accept,
+	ConnectFails: faults.Connect,
+	SocketFails:  faults.Socket,
+	ReadFails:    faults.Read,
+	WriteFails:   faults.Write,
+	EpollFails:   faults.EpollControl,
+	FileFails:    faults.ReadFile,
+}
+
+// syscallFaults returns the faults that a dispatcher built with -tags faults plays in its own system calls.
+func (p Plan) syscallFaults(dispatcher int) (spans []faults.Span) {
+	for _, f := range p.Troubles {
+		if !f.Kind.needsFaultyBuild() || f.Target != dispatcher {
+			continue
+		}
+		if f.Kind == ClockStep {
+			spans = append(spans, faults.Span{From: f.From, To: f.To, Step: f.Amount})
+			continue
+		}
+		call := failingCalls[f.Kind]
+		spans = append(spans, faults.Span{Call: call, Errno: f.Errno, From: f.From, To: f.To, Chance: f.Amount})
+		switch f.Kind {
+		case ReadFails:
+			spans = append(spans, faults.Span{Call: call, From: f.From, To: f.To, Short: readChunk})
+		case WriteFails:
+			spans = append(spans, faults.Span{Call: call, From: f.From, To: f.To, Short: writeChunk})
+		}
+	}
+	return spans
+}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -5,118 +5,132 @@
 	"time"
 )
 
-// The history holds what the sockets carried, with times in seconds of the run's monotonic clock.
+// class is a model group of the soak. The values are the names in the dispatchers' configuration.
+type class string
 
-// Class is a model group of the soak.
-type Class string
-
-// The classes.
 const (
-	ReadClass  Class = "read"  // retriable
-	WriteClass Class = "write" // deduplicated
-	OnceClass  Class = "once"  // non-retriable
+	retriableClass    class = "read"
+	deduplicatedClass class = "write"
+	nonRetriableClass class = "once"
 )
 
-// Ending says how a request ended for its client.
-type Ending string
+// Outcome is how a request ended for its client.
+type Outcome string
 
-// The endings.
+// The outcomes, as reports print them.
 const (
-	Served   Ending = "served"
-	Shed     Ending = "shed"
-	Failed   Ending = "failed"
-	Closed   Ending = "closed"   // the connection ended without an answer
-	NoAnswer Ending = "none"     // nothing came
-	Gone     Ending = "gone"     // the client cancelled or closed
-	Garbled  Ending = "garbled"  // an answer that can't be read
-	Refused  Ending = "refused"  // the connection was never accepted
-	Excused  Ending = "excused"  // its dispatcher was killed
-	Crossed  Ending = "crossed"  // it crossed the close of a resting connection, and was sent again
-	unending Ending = "unending" // still open
+	Served      Outcome = "served"
+	Shed        Outcome = "shed"
+	Failed      Outcome = "failed"
+	Closed      Outcome = "closed"   // the connection ended without a response
+	NoResponse  Outcome = "none"     // nothing arrived
+	ClientLeft  Outcome = "gone"     // the client cancelled or disconnected
+	Malformed   Outcome = "garbled"  // the response can't be read
+	NotAccepted Outcome = "refused"  // the request was never fully sent
+	Excused     Outcome = "excused"  // the dispatcher was killed
+	Resent      Outcome = "crossed"  // it crossed the close of an idle connection, and was sent again
+	pending     Outcome = "unending" // not ended yet
 )
 
-// Request is one as its client saw it.
-type Request struct {
+// request is a request as its client saw it. The client writes it under the history's lock.
+type request struct {
 	ID         string
-	Class      Class
-	Key        string
+	Class      class
+	Key        string // idempotency key; empty for none
 	Dispatcher int
-	Patience   float64
-	Sent       float64 // its last byte was written
-	Left       float64 // cancelled or closed; 0 for not
-	Ended      float64
-	Ending     Ending
+	Timeout    float64 // s
+	SentAt     float64 // the last byte was written
+	LeftAt     float64 // the client cancelled or disconnected; 0 if it did not
+	EndedAt    float64
+	Outcome    Outcome
 	Body       string
-	Answers    int
-	Alone      bool // its connection had rested: it carried others before, and nothing else was open on it
-	Local      string
-	New        bool // nothing was answered on its connection yet, which may wait to be accepted
+	WasIdle    bool   // its connection carried others before, and nothing else was in flight on it
+	LocalAddr  string // of the client
+	NewConn    bool   // nothing was answered on its connection yet, which may not be accepted yet
 }
 
-// Attempt is one message as a worker's socket carried it.
-type Attempt struct {
-	ID       string
-	Worker   string
-	Key      string
-	First    float64 // its first byte was read
-	Whole    float64 // its last byte was read; 0 if it never came whole
-	Latest   float64 // the same, where the worker was deaf: it may have come in at any time from Whole on
-	Budget   float64 // s
-	Answer   string  // what the worker answered; empty for nothing
-	Answered float64
-	Body     string
+// attempt is one attempt as a worker's socket carried it.
+type attempt struct {
+	RequestID   string
+	Worker      string
+	Key         string
+	FirstByteAt float64
+	ReceivedAt  float64 // the last byte was read; 0 if it never was
+	ReceivedBy  float64 // the same; later than ReceivedAt if the worker was deaf, and the bytes may have arrived in between
+	Timeout     float64 // s
+	Result      string  // what the worker answered; empty for nothing
+	AnsweredAt  float64
 }
 
-// neverRan tells whether the worker said, by a time, that the attempt did not run.
-func (a *Attempt) neverRan(by float64) bool {
-	switch a.Answer {
-	case "not_here", "overload", "nobody":
-		return a.Answered > 0 && a.Answered <= by
+// Results of attempts in the workers' protocol.
+const (
+	resultServed   = "served"
+	resultNotHere  = "not_here"
+	resultOverload = "overload"
+	resultNobody   = "nobody"
+	resultCrashed  = "crashed"
+)
+
+// neverRan reports whether the worker had answered by the given time that the attempt did not run.
+func (a *attempt) neverRan(by float64) bool {
+	switch a.Result {
+	case resultNotHere, resultOverload, resultNobody:
+		return a.AnsweredAt > 0 && a.AnsweredAt <= by
 	}
-	return a.Whole == 0
+	return a.ReceivedAt == 0
 }
 
-// Order is a load order as a worker's socket carried it.
-type Order struct {
+// loadRequest is a load request as a worker's socket carried it.
+type loadRequest struct {
 	Worker string
-	First  float64
+	At     float64
 }
 
-// History is what all sockets of a run carried.
-type History struct {
-	mu       sync.Mutex
-	start    time.Time
-	Requests []*Request
-	Attempts map[string][]*Attempt
-	Orders   []Order
-	Told     map[string]float64 // when the change log had that a worker drains or has gone
-	Started  map[string]float64 // when the change log had that a worker started cold
-	Stray    []string
+// history holds what all sockets of a run carried. Times are in seconds of the run's monotonic clock. Clients, workers
+// and the change log write it concurrently under its lock.
+type history struct {
+	mu           sync.Mutex
+	start        time.Time
+	Requests     []*request
+	Attempts     map[string][]*attempt // by request
+	LoadRequests []loadRequest
+	DrainedAt    map[string]float64 // when the change log had that a worker drains or has left
+	StartedAt    map[string]float64 // when the change log had that a worker started
+	Unexpected   []string           // messages that belong to nothing or can't be read
 }
 
-// NewHistory begins a history at the plan's second 0.
-func NewHistory() *History {
-	return &History{start: time.Now(), Attempts: map[string][]*Attempt{}, Told: map[string]float64{}, Started: map[string]float64{}}
+// newHistory starts a history at second 0 of the plan.
+func newHistory() *history {
+	return &history{start: time.Now(), Attempts: map[string][]*attempt{}, DrainedAt: map[string]float64{}, StartedAt: map[string]float64{}}
 }
 
-// Now is the time on the run's clock.
-func (h *History) Now() float64 { return time.Since(h.start).Seconds() }
+// now returns the time on the run's clock.
+func (h *history) now() float64 { return time.Since(h.start).Seconds() }
 
-func (h *History) request(r *Request) {
+func (h *history) addRequest(r *request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Requests = append(h.Requests, r)
 }
 
-// update changes a record under the history's lock.
-func (h *History) update(f func()) {
+func (h *history) addAttempt(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f()
+	h.Attempts[a.RequestID] = append(h.Attempts[a.RequestID], a)
 }
 
-func (h *History) attempt(a *Attempt) {
+func (h *history) addUnexpected(text string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.Attempts[a.ID] = append(h.Attempts[a.ID], a)
+	h.Unexpected = append(h.Unexpected, text)
 }
+
+// update changes records under the history's lock.
+func (h *history) update(change func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	change()
+}
+
+// seconds converts a time in seconds to a time.Duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- /dev/null
+++ b/internal/soak/resources.go
@@ -0,0 +1,74 @@
+package soak
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// usage is what a process uses.
+type usage struct {
+	descriptors int
+	residentMB  float64
+}
+
+func (d *dispatcher) usage() usage {
+	return usage{descriptors: d.descriptors(), residentMB: d.residentMB()}
+}
+
+// descriptors counts the open descriptors of the process.
+func (d *dispatcher) descriptors() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
+	return len(list)
+}
+
+// residentMB returns the memory in use in MB, 0 if it can't be read.
+func (d *dispatcher) residentMB() float64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
+	for _, line := range strings.Split(string(text), "\n") {
+		if value, ok := strings.CutPrefix(line, "VmRSS:"); ok {
+			kb, _ := strconv.Atoi(strings.Fields(value)[0])
+			return float64(kb) / 1024
+		}
+	}
+	return 0
+}
+
+const maxDescriptors = 1 << 16
+
+// limitDescriptors lowers the limit on descriptors to what is in use, for the time of a fault.
+func (d *dispatcher) limitDescriptors(f Fault) {
+	inUse := uint64(d.descriptors())
+	cmd, _ := d.process()
+	pid := cmd.Process.Pid
+	var old unix.Rlimit
+	if unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: inUse, Max: maxDescriptors}, &old) != nil {
+		return
+	}
+	time.Sleep(seconds(f.To - f.From))
+	err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil)
+	if err != nil && !errors.Is(err, unix.ESRCH) { // the process may have ended
+		d.run.report(ruleHarness, d.run.history.now(), "dispatcher %d keeps a low limit on descriptors: %v", d.index, err)
+	}
+}
+
+// logLines returns the lines of the dispatcher's log that contain a text.
+func (d *dispatcher) logLines(substring string) (lines []string) {
+	text, _ := os.ReadFile(d.logFile)
+	for _, line := range bytes.Split(text, []byte("\n")) {
+		if bytes.Contains(line, []byte(substring)) {
+			lines = append(lines, string(line))
+		}
+	}
+	return lines
+}
