--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -15,150 +15,197 @@
 	"mastchute/internal/httpconn"
 )
 
-// The programs that the gateway is measured beside. All are ours.
+// The programs beside which the gateway is measured.
 
-// Echo serves workers that answer at once with a few bytes, on one loop, so that what is in front of them is measured.
+const (
+	echoIdleTimeout   = 3600 // s
+	echoUptimeSeconds = 1e6  // well past any slow start
+)
+
+// Echo returns a loop with workers that answer at once with a few bytes, so that what is in front of them is measured.
 func Echo(at []netip.AddrPort) (*eventloop.Loop, []netip.AddrPort, error) {
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		return nil, nil, err
 	}
-	var out []netip.AddrPort
-	e := &echo{start: fmt.Sprintf("Mastchute-Start: %.3f\r\nMastchute-Found: warm\r\n"+
-		"endpoint-load-metrics: TEXT named_metrics.inflight=1, named_metrics.queue=0\r\n", float64(time.Now().UnixMilli())/1e3-1e6)}
-	for _, a := range at {
-		s, err := httpconn.NewServer(l, a, e, httpconn.ServerOptions{IdleTimeout: 3600})
+	startedAt := float64(time.Now().UnixMilli())/1e3 - echoUptimeSeconds
+	e := &echoService{headers: fmt.Sprintf("Mastchute-Start: %.3f\r\nMastchute-Found: warm\r\n"+
+		"endpoint-load-metrics: TEXT named_metrics.inflight=1, named_metrics.queue=0\r\n", startedAt)}
+	var addresses []netip.AddrPort
+	for _, address := range at {
+		server, err := httpconn.NewServer(loop, address, e, httpconn.ServerOptions{IdleTimeout: echoIdleTimeout})
 		if err != nil {
 			return nil, nil, err
 		}
-		out = append(out, s.Addr())
+		addresses = append(addresses, server.Addr())
 	}
-	return l, out, nil
+	return loop, addresses, nil
 }
 
-type echo struct{ start string }
+// echoService implements httpconn.Service.
+type echoService struct{ headers string }
 
 var echoBody = []byte(`{"model_name":"echo","outputs":[]}` + "\n")
 
-func (e *echo) HeadReceived(*httpconn.Exchange) bool { return false }
-func (e *echo) RequestReceived(x *httpconn.Exchange) {
-	x.FinishResponse(append(x.StartResponse(200), e.start...), echoBody)
+// HeadReceived implements httpconn.Service.
+func (e *echoService) HeadReceived(*httpconn.Exchange) bool { return false }
+
+// RequestReceived implements httpconn.Service.
+func (e *echoService) RequestReceived(x *httpconn.Exchange) {
+	x.FinishResponse(append(x.StartResponse(200), e.headers...), echoBody)
 }
-func (e *echo) ClientGone(*httpconn.Exchange)     {}
-func (e *echo) StreamWritable(*httpconn.Exchange) {}
-func (e *echo) RequestRefused(*httpcodec.Error)   {}
 
-// Relay is baseline (a): round robin on the gateway's loop and codec, with no decisions.
+// ClientGone implements httpconn.Service.
+func (e *echoService) ClientGone(*httpconn.Exchange) {}
+
+// StreamWritable implements httpconn.Service.
+func (e *echoService) StreamWritable(*httpconn.Exchange) {}
+
+// RequestRefused implements httpconn.Service.
+func (e *echoService) RequestRefused(*httpcodec.Error) {}
+
+// Relay returns a loop with baseline (a): round robin on the gateway's event loop and codec, without decisions.
 func Relay(at netip.AddrPort, workers []netip.AddrPort) (*eventloop.Loop, netip.AddrPort, error) {
-	l, err := eventloop.New(0)
+	loop, err := eventloop.New(0)
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
-	r := &relay{}
-	for _, w := range workers {
-		r.pools = append(r.pools, httpconn.NewPool(l, w, httpconn.PoolOptions{}))
+	r := &relayService{}
+	for _, worker := range workers {
+		r.pools = append(r.pools, httpconn.NewPool(loop, worker, httpconn.PoolOptions{}))
 	}
-	s, err := httpconn.NewServer(l, at, r, httpconn.ServerOptions{})
+	server, err := httpconn.NewServer(loop, at, r, httpconn.ServerOptions{})
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
-	return l, s.Addr(), nil
+	return loop, server.Addr(), nil
 }
 
-type relay struct {
-	pools []*httpconn.Pool
+// relayService implements httpconn.Service.
+type relayService struct {
+	pools []*httpconn.Pool // by worker
 	next  int
-	free  []*relayed
+	free  []*relayedRequest
 }
 
-type relayed struct {
-	r       *relay
-	x       *httpconn.Exchange
-	call    httpconn.Call
-	head    []byte
-	status  int
-	headers []byte
-	body    []byte
+// relayedRequest is a request in flight. It is reused.
+type relayedRequest struct {
+	relay    *relayService
+	exchange *httpconn.Exchange // nil after the client disconnected
+	call     httpconn.Call
+	head     []byte // of the request to the worker
+	status   int
+	headers  []byte // of the response
+	body     []byte
 }
 
-func (r *relay) HeadReceived(*httpconn.Exchange) bool { return false }
-func (r *relay) StreamWritable(*httpconn.Exchange)    {}
-func (r *relay) RequestRefused(*httpcodec.Error)      {}
+// HeadReceived implements httpconn.Service.
+func (r *relayService) HeadReceived(*httpconn.Exchange) bool { return false }
+
+// StreamWritable implements httpconn.Service.
+func (r *relayService) StreamWritable(*httpconn.Exchange) {}
+
+// RequestRefused implements httpconn.Service.
+func (r *relayService) RequestRefused(*httpcodec.Error) {}
 
-func (r *relay) ClientGone(x *httpconn.Exchange) {
-	if q, ok := x.ServiceState.(*relayed); ok && q.x == x {
-		q.call.Cancel()
-		q.x = nil
-		r.free = append(r.free, q)
+// ClientGone implements httpconn.Service.
+func (r *relayService) ClientGone(x *httpconn.Exchange) {
+	request, ok := x.ServiceState.(*relayedRequest)
+	if !ok || request.exchange != x {
+		return
 	}
+	request.call.Cancel()
+	request.exchange = nil
+	r.free = append(r.free, request)
 }
 
-func (r *relay) RequestReceived(x *httpconn.Exchange) {
-	var q *relayed
-	if n := len(r.free); n > 0 {
-		q, r.free = r.free[n-1], r.free[:n-1]
-	} else {
-		q = &relayed{r: r}
-		q.call.Handler = q
-	}
-	p := r.pools[r.next%len(r.pools)]
+// RequestReceived implements httpconn.Service.
+func (r *relayService) RequestReceived(x *httpconn.Exchange) {
+	request := r.takeRequest()
+	pool := r.pools[r.next%len(r.pools)]
 	r.next++
-	q.x, x.ServiceState = x, q
-	q.headers, q.body = q.headers[:0], q.body[:0]
-	b := append(q.head[:0], x.Head.Method...)
-	b = append(b, ' ')
-	b = append(b, x.Head.Target...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = p.Addr.AppendTo(b)
-	b = append(b, "\r\n"...)
-	b = passOn(b, &x.Head)
-	b = httpcodec.AppendLength(b, int64(len(x.Body)))
-	q.head = append(b, "\r\n"...)
-	p.Do(&q.call, q.head, x.Body)
+	request.exchange = x
+	x.ServiceState = request
+	request.headers = request.headers[:0]
+	request.body = request.body[:0]
+	head := append(request.head[:0], x.Head.Method...)
+	head = append(head, ' ')
+	head = append(head, x.Head.Target...)
+	head = append(head, " HTTP/1.1\r\nHost: "...)
+	head = pool.Addr.AppendTo(head)
+	head = append(head, "\r\n"...)
+	head = appendForwardedHeaders(head, &x.Head)
+	head = httpcodec.AppendLength(head, int64(len(x.Body)))
+	request.head = append(head, "\r\n"...)
+	pool.Do(&request.call, request.head, x.Body)
+}
+
+func (r *relayService) takeRequest() *relayedRequest {
+	if last := len(r.free) - 1; last >= 0 {
+		request := r.free[last]
+		r.free = r.free[:last]
+		return request
+	}
+	request := &relayedRequest{relay: r}
+	request.call.Handler = request
+	return request
 }
 
-func passOn(b []byte, h *httpcodec.Head) []byte {
+// appendForwardedHeaders appends the headers that are not of one hop.
+func appendForwardedHeaders(b []byte, h *httpcodec.Head) []byte {
 	for i := range h.Headers {
-		if n := h.Headers[i].Name; !httpcodec.IsHopByHop(n) {
-			b = append(b, n...)
-			b = append(b, ": "...)
-			b = append(b, h.Headers[i].Value...)
-			b = append(b, "\r\n"...)
+		name := h.Headers[i].Name
+		if httpcodec.IsHopByHop(name) {
+			continue
 		}
+		b = append(b, name...)
+		b = append(b, ": "...)
+		b = append(b, h.Headers[i].Value...)
+		b = append(b, "\r\n"...)
 	}
 	return b
 }
 
-func (q *relayed) ResponseHead(h *httpcodec.Head) {
-	q.status, q.headers = h.Status, passOn(q.headers, h)
+// ResponseHead implements httpconn.ResponseHandler.
+func (r *relayedRequest) ResponseHead(h *httpcodec.Head) {
+	r.status = h.Status
+	r.headers = appendForwardedHeaders(r.headers, h)
 }
-func (q *relayed) ResponseBody(b []byte) { q.body = append(q.body, b...) }
 
-func (q *relayed) ResponseDone(err error) {
-	x := q.x
-	q.x = nil
+// ResponseBody implements httpconn.ResponseHandler.
+func (r *relayedRequest) ResponseBody(b []byte) { r.body = append(r.body, b...) }
+
+// ResponseDone implements httpconn.ResponseHandler.
+func (r *relayedRequest) ResponseDone(err error) {
+	x := r.exchange
+	r.exchange = nil
 	if err != nil {
 		x.Problem(502, "the worker failed")
 	} else {
-		x.FinishResponse(append(x.StartResponse(q.status), q.headers...), q.body)
+		x.FinishResponse(append(x.StartResponse(r.status), r.headers...), r.body)
 	}
-	q.r.free = append(q.r.free, q)
+	r.relay.free = append(r.relay.free, r)
 }
 
-// Proxy is baseline (b): round robin on net/http's ReverseProxy.
+const (
+	proxyIdlePerWorker = 256
+	proxyIdle          = 1024
+)
+
+// Proxy starts baseline (b): round robin on net/http's ReverseProxy.
 func Proxy(at string, workers []netip.AddrPort) (net.Listener, error) {
 	var next atomic.Int64
-	p := &httputil.ReverseProxy{
+	proxy := &httputil.ReverseProxy{
 		Rewrite: func(r *httputil.ProxyRequest) {
-			w := workers[int(next.Add(1))%len(workers)]
-			r.SetURL(&url.URL{Scheme: "http", Host: w.String()})
+			worker := workers[int(next.Add(1))%len(workers)]
+			r.SetURL(&url.URL{Scheme: "http", Host: worker.String()})
 		},
-		Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxIdleConns: 1024, DisableCompression: true},
+		Transport: &http.Transport{MaxIdleConnsPerHost: proxyIdlePerWorker, MaxIdleConns: proxyIdle, DisableCompression: true},
 	}
-	ln, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, err
 	}
-	go http.Serve(ln, p)
-	return ln, nil
+	go http.Serve(listener, proxy)
+	return listener, nil
 }
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -3,52 +3,67 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/netip"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/goccy/go-yaml"
 
 	"mastchute/internal/config"
-	"mastchute/internal/eventloop"
-	"mastchute/internal/httpcodec"
-	"mastchute/internal/httpconn"
 )
 
-// BenchOptions say how to measure.
+// BenchOptions select how to measure.
 type BenchOptions struct {
-	Self    []string
+	Self    []string      // command line of mastchute
 	Workers int           // echo workers
 	Conns   int           // client connections
 	Span    time.Duration // of each measurement
-	Idle    int           // idle connections held open for the memory figure; 0 leaves it out
-	Rounds  int           // measurements of each target, taken in turn; the median counts
-	Dir     string
-	Say     io.Writer
+	Idle    int           // idle connections for the memory figure; 0 leaves it out
+	Rounds  int           // measurements of each target, in turn; the median counts
+	Dir     string        // for settings; empty for a temporary one
+	Say     io.Writer     // progress
 }
 
-// BenchRow is one target's figures.
+// BenchRow holds one target's figures.
 type BenchRow struct {
 	Target     string  `json:"target"`
-	PerSecond  float64 `json:"per_s"`         // answers a second, closed loop
-	PerCPU     float64 `json:"per_cpu_s"`     // answers for each CPU second of the target
+	PerSecond  float64 `json:"per_s"`         // responses a second, closed loop
+	PerCPU     float64 `json:"per_cpu_s"`     // responses for each CPU second of the target
 	P50, P99   float64 `json:"-"`             // s, open loop at half the gateway's rate
 	P99ms      float64 `json:"p99_half_ms"`   // the same, ms
-	AddedMs    float64 `json:"p99_added_ms"`  // beyond the echo workers asked directly, in this run
+	AddedMs    float64 `json:"p99_added_ms"`  // beyond the echo workers without a proxy, in the same run
 	IdleBytes  float64 `json:"idle_bytes"`    // resident memory for each idle connection
 	CPUPercent float64 `json:"cpu_of_a_core"` // used in the closed loop
 }
 
-// Bench measures the gateway beside the baselines, in one run, each in a process of its own.
+const (
+	benchStartTimeout = 5 * time.Second
+	acceptTime        = 300 * time.Millisecond // for the last idle connection to be accepted
+	clockTicks        = 100                    // of CPU time a second, in /proc
+)
+
+// benchTarget is a program under measurement.
+type benchTarget struct {
+	row     BenchRow
+	address netip.AddrPort
+	pid     int
+}
+
+// benchmark is a measurement of several targets in progress, each in a process of its own.
+type benchmark struct {
+	options   BenchOptions
+	processes []*process
+	targets   []*benchTarget // the gateway first, the echo workers last
+}
+
+// Bench measures the gateway beside the baselines in one run.
 func Bench(o BenchOptions) ([]BenchRow, error) {
 	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "mastchute-bench-")
@@ -58,288 +73,270 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	opt := Options{Self: o.Self, Dir: o.Dir}
-	var procs []*proc
-	defer func() {
-		for _, p := range procs {
-			p.cmd.Process.Kill()
-			<-p.done
-		}
-	}()
-	up := func(args ...string) (string, int, error) {
-		pr, pw := io.Pipe()
-		p, err := opt.start(pw, pw, args...)
+	b := &benchmark{options: o}
+	defer b.close()
+	if err := b.startTargets(); err != nil {
+		return nil, err
+	}
+	// Idle connections first, so that there is no memory of a load before that is used again.
+	if err := b.measureIdle(); err != nil {
+		return nil, err
+	}
+	if err := b.measureThroughput(); err != nil {
+		return nil, err
+	}
+	if err := b.measureLatency(); err != nil {
+		return nil, err
+	}
+	var rows []BenchRow
+	for _, t := range b.targets {
+		rows = append(rows, t.row)
+	}
+	return rows, nil
+}
+
+func (b *benchmark) close() {
+	for _, p := range b.processes {
+		p.kill()
+	}
+}
+
+// startTargets starts the echo workers, the gateway and the baselines.
+func (b *benchmark) startTargets() error {
+	echoAddresses, echo, err := b.start("lab", "echo", "--workers", strconv.Itoa(b.options.Workers))
+	if err != nil {
+		return err
+	}
+	workers := strings.Fields(echoAddresses)
+	configFile, err := b.writeConfig(workers)
+	if err != nil {
+		return err
+	}
+	for _, target := range []struct {
+		name string
+		args []string
+	}{
+		{"mastchute", []string{"serve", configFile}},
+		{"relay (a)", []string{"lab", "relay", "--workers", echoAddresses}},
+		{"ReverseProxy (b)", []string{"lab", "proxy", "--workers", echoAddresses}},
+	} {
+		address, p, err := b.start(target.args...)
 		if err != nil {
-			return "", 0, err
+			return err
 		}
-		procs = append(procs, p)
-		line := make(chan string, 1)
-		go func() {
-			s := bufio.NewScanner(pr)
-			for s.Scan() {
-				var a struct{ Message, Listen string }
-				if args[0] != "serve" {
-					line <- s.Text()
-					break
-				} else if json.Unmarshal(s.Bytes(), &a) == nil && a.Message == "serving" {
-					line <- a.Listen
-					break
-				}
-			}
-			io.Copy(io.Discard, pr)
-		}()
-		select {
-		case l := <-line:
-			return l, p.cmd.Process.Pid, nil
-		case <-time.After(5 * time.Second):
-			return "", 0, fmt.Errorf("%v did not come up", args)
+		if err := b.addTarget(target.name, address, p); err != nil {
+			return err
 		}
 	}
-	echo, _, err := up("lab", "echo", "--workers", strconv.Itoa(o.Workers))
+	return b.addTarget("echo, no gateway", workers[0], echo)
+}
+
+func (b *benchmark) addTarget(name, address string, p *process) error {
+	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, err
+		return fmt.Errorf("address of %s: %w", name, err)
 	}
-	cfg := config.Default()
-	cfg.Listen, cfg.Admin, cfg.Log.Format, cfg.Seed = "127.0.0.1:0", "off", "json", 1
-	cfg.Groups = []config.Group{{Name: "read", Effect: "retriable", SLO: config.S(1), Timeout: config.S(5), Value: 1}}
-	cfg.Models = []config.Model{{Name: "m-*", Group: "read", Memory: config.B(1e8), Lanes: 8, Load: config.S(0.5)}}
-	for i, a := range strings.Fields(echo) {
-		cfg.Workers = append(cfg.Workers, config.Worker{Name: fmt.Sprintf("w%d", i+1), Address: a})
+	b.targets = append(b.targets, &benchTarget{row: BenchRow{Target: name}, address: parsed, pid: p.cmd.Process.Pid})
+	return nil
+}
+
+// writeConfig writes the gateway's configuration and returns its file.
+func (b *benchmark) writeConfig(workers []string) (string, error) {
+	c := config.Default()
+	c.Listen = loopbackFreePort
+	c.Admin = "off"
+	c.Log.Format = "json"
+	c.Seed = 1
+	c.Groups = []config.Group{{Name: "read", Effect: effectRetriable, SLO: config.S(1), Timeout: config.S(5), Value: 1}}
+	c.Models = []config.Model{{Name: "m-*", Group: "read", Memory: config.B(1e8), Lanes: 8, Load: config.S(0.5)}}
+	for i, address := range workers {
+		c.Workers = append(c.Workers, config.Worker{Name: workerName(i), Address: address})
 	}
-	text, err := yaml.Marshal(cfg)
+	text, err := yaml.Marshal(c)
 	if err != nil {
-		return nil, err
+		return "", err
 	}
-	file := filepath.Join(o.Dir, "bench.yaml")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return nil, err
+	file := filepath.Join(b.options.Dir, "bench.yaml")
+	return file, os.WriteFile(file, text, 0o600)
+}
+
+// start starts mastchute with arguments and returns the addresses that it announces.
+func (b *benchmark) start(args ...string) (addresses string, p *process, err error) {
+	options := Options{Self: b.options.Self}
+	outputReader, outputWriter := io.Pipe()
+	p, err = options.startProcess(outputWriter, outputWriter, args...)
+	if err != nil {
+		return "", nil, err
 	}
-	rows := []BenchRow{{Target: "mastchute"}, {Target: "relay (a)"}, {Target: "ReverseProxy (b)"}, {Target: "echo, no gateway"}}
-	addrs, pids := make([]netip.AddrPort, len(rows)), make([]int, len(rows))
-	for i, args := range [][]string{{"serve", file}, {"lab", "relay", "--workers", echo}, {"lab", "proxy", "--workers", echo}} {
-		a, pid, err := up(args...)
-		if err != nil {
-			return nil, err
+	b.processes = append(b.processes, p)
+	announced := make(chan string, 1)
+	go func() {
+		if addresses, ok := readAddresses(outputReader, args[0] == "serve"); ok {
+			announced <- addresses
 		}
-		if addrs[i], err = netip.ParseAddrPort(a); err != nil {
-			return nil, err
+		io.Copy(io.Discard, outputReader)
+	}()
+	select {
+	case addresses := <-announced:
+		return addresses, p, nil
+	case <-time.After(benchStartTimeout):
+		return "", nil, fmt.Errorf("%v did not start within %s", args, benchStartTimeout)
+	}
+}
+
+// readAddresses reads the line that announces the addresses: the gateway's log line, or the first one of the baselines.
+func readAddresses(output io.Reader, isGateway bool) (addresses string, ok bool) {
+	s := bufio.NewScanner(output)
+	for s.Scan() {
+		if !isGateway {
+			return s.Text(), true
+		}
+		var line servingLine
+		if json.Unmarshal(s.Bytes(), &line) == nil && line.Message == servingMessage {
+			return line.Listen, true
 		}
-		pids[i] = pid
 	}
-	addrs[3] = netip.MustParseAddrPort(strings.Fields(echo)[0])
-	pids[3] = procs[0].cmd.Process.Pid
-	if o.Idle > 0 { // before any load, so that no memory is there to be used again
-		for i := range 3 {
-			if rows[i].IdleBytes, err = idleBytes(addrs[i], pids[i], o.Idle); err != nil {
-				return nil, err
-			}
+	return "", false
+}
+
+// echo returns the echo workers, which all others send to.
+func (b *benchmark) echo() *benchTarget { return b.targets[len(b.targets)-1] }
+
+// measureIdle measures the memory of idle connections at all targets but the echo workers.
+func (b *benchmark) measureIdle() error {
+	if b.options.Idle <= 0 {
+		return nil
+	}
+	for _, t := range b.targets[:len(b.targets)-1] {
+		bytes, err := idleBytes(t.address, t.pid, b.options.Idle)
+		if err != nil {
+			return err
 		}
+		t.row.IdleBytes = bytes
 	}
-	closed := make([][][3]float64, len(rows))
-	for range max(1, o.Rounds) {
-		for i := range rows {
-			if _, err := drive(addrs[i], o.Conns, 0, o.Span/4); err != nil { // warm up
-				return nil, err
-			}
-			cpu := cpuSeconds(pids[i])
-			began := time.Now()
-			h, err := drive(addrs[i], o.Conns, 0, o.Span)
+	return nil
+}
+
+// throughput is one measurement in a closed loop.
+type throughput struct{ perSecond, perCPU, cpuPercent float64 }
+
+// measureThroughput measures all targets in turn in closed loops, several times.
+func (b *benchmark) measureThroughput() error {
+	measured := make([][]throughput, len(b.targets))
+	for range max(1, b.options.Rounds) {
+		for i, t := range b.targets {
+			m, err := b.closedLoop(t)
 			if err != nil {
-				return nil, err
+				return err
 			}
-			took := time.Since(began).Seconds()
-			used := cpuSeconds(pids[i]) - cpu
-			n := float64(h.TotalCount())
-			closed[i] = append(closed[i], [3]float64{n / took, n / used, 100 * used / took})
-			fmt.Fprintf(o.Say, "%-18s %8.0f a second, %8.0f a CPU second\n", rows[i].Target, n/took, n/used)
+			measured[i] = append(measured[i], m)
+			fmt.Fprintf(b.options.Say, "%-18s %8.0f a second, %8.0f a CPU second\n", t.row.Target, m.perSecond, m.perCPU)
 		}
 	}
-	for i := range rows {
-		rows[i].PerSecond, rows[i].PerCPU, rows[i].CPUPercent = median(closed[i], 0), median(closed[i], 1), median(closed[i], 2)
+	for i, t := range b.targets {
+		t.row.PerSecond = medianOf(measured[i], func(m throughput) float64 { return m.perSecond })
+		t.row.PerCPU = medianOf(measured[i], func(m throughput) float64 { return m.perCPU })
+		t.row.CPUPercent = medianOf(measured[i], func(m throughput) float64 { return m.cpuPercent })
 	}
-	half := rows[0].PerSecond / 2
-	lat := make([][][3]float64, len(rows))
-	for range max(1, o.Rounds) {
-		for i := range rows {
-			h, err := drive(addrs[i], o.Conns, half, o.Span)
+	return nil
+}
+
+// closedLoop measures one target after a warm-up.
+func (b *benchmark) closedLoop(t *benchTarget) (throughput, error) {
+	if _, err := drive(t.address, b.options.Conns, 0, b.options.Span/4); err != nil {
+		return throughput{}, err
+	}
+	cpuBefore := cpuSeconds(t.pid)
+	begin := time.Now()
+	latencies, err := drive(t.address, b.options.Conns, 0, b.options.Span)
+	if err != nil {
+		return throughput{}, err
+	}
+	took := time.Since(begin).Seconds()
+	cpu := cpuSeconds(t.pid) - cpuBefore
+	responses := float64(latencies.TotalCount())
+	return throughput{perSecond: responses / took, perCPU: responses / cpu, cpuPercent: 100 * cpu / took}, nil
+}
+
+// openLoopLatency is one measurement in an open loop, in seconds.
+type openLoopLatency struct{ p50, p99 float64 }
+
+// measureLatency measures all targets in turn in open loops at half the gateway's rate, several times.
+func (b *benchmark) measureLatency() error {
+	rate := b.targets[0].row.PerSecond / 2
+	measured := make([][]openLoopLatency, len(b.targets))
+	for range max(1, b.options.Rounds) {
+		for i, t := range b.targets {
+			latencies, err := drive(t.address, b.options.Conns, rate, b.options.Span)
 			if err != nil {
-				return nil, err
+				return err
 			}
-			lat[i] = append(lat[i], [3]float64{float64(h.ValueAtPercentile(50)) / 1e9, float64(h.ValueAtPercentile(99)) / 1e9})
+			measured[i] = append(measured[i], openLoopLatency{p50: float64(latencies.ValueAtPercentile(50)) / 1e9,
+				p99: float64(latencies.ValueAtPercentile(99)) / 1e9})
 		}
 	}
-	for i := range rows {
-		rows[i].P50, rows[i].P99 = median(lat[i], 0), median(lat[i], 1)
-		rows[i].P99ms = rows[i].P99 * 1e3
+	for i, t := range b.targets {
+		t.row.P50 = medianOf(measured[i], func(m openLoopLatency) float64 { return m.p50 })
+		t.row.P99 = medianOf(measured[i], func(m openLoopLatency) float64 { return m.p99 })
+		t.row.P99ms = t.row.P99 * 1e3
 	}
-	for i := range rows {
-		rows[i].AddedMs = (rows[i].P99 - rows[3].P99) * 1e3
+	for _, t := range b.targets {
+		t.row.AddedMs = (t.row.P99 - b.echo().row.P99) * 1e3
 	}
-	return rows, nil
+	return nil
 }
 
-func median(v [][3]float64, k int) float64 {
-	var x []float64
-	for _, r := range v {
-		x = append(x, r[k])
+// medianOf returns the median of one figure of the measurements.
+func medianOf[M any](measurements []M, figure func(M) float64) float64 {
+	var values []float64
+	for _, m := range measurements {
+		values = append(values, figure(m))
 	}
-	for i := range x {
-		for j := i; j > 0 && x[j] < x[j-1]; j-- {
-			x[j], x[j-1] = x[j-1], x[j]
-		}
-	}
-	return x[len(x)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// cpuSeconds is the CPU time that a process of ours has used, user and system.
+// cpuSeconds returns the CPU time that a process has used, user and system; 0 if it can't be read.
 func cpuSeconds(pid int) float64 {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
-	u, _ := strconv.ParseFloat(f[11], 64)
-	s, _ := strconv.ParseFloat(f[12], 64)
-	return (u + s) / 100
+	afterName := string(text[strings.LastIndexByte(string(text), ')')+1:])
+	fields := strings.Fields(afterName)
+	user, _ := strconv.ParseFloat(fields[11], 64)
+	system, _ := strconv.ParseFloat(fields[12], 64)
+	return (user + system) / clockTicks
 }
 
-// residentBytes is the resident memory of a process of ours.
+// residentBytes returns the resident memory of a process; 0 if it can't be read.
 func residentBytes(pid int) float64 {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	v, _ := strconv.ParseFloat(strings.Fields(string(b))[1], 64)
-	return v * float64(os.Getpagesize())
+	pages, _ := strconv.ParseFloat(strings.Fields(string(text))[1], 64)
+	return pages * float64(os.Getpagesize())
 }
 
-// idleBytes opens connections that send nothing, from several loopback addresses, and tells what each costs.
+// idleBytes opens n connections that send nothing, from several loopback addresses, and returns the memory that the target
+// uses for each.
 func idleBytes(to netip.AddrPort, pid, n int) (float64, error) {
 	before := residentBytes(pid)
-	var open []net.Conn
+	var conns []net.Conn
 	defer func() {
-		for _, c := range open {
-			c.Close()
+		for _, conn := range conns {
+			conn.Close()
 		}
 	}()
 	for i := range n {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+i%8))}, Timeout: 2 * time.Second}
-		c, err := d.Dial("tcp", to.String())
+		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+i%8))}, Timeout: 2 * time.Second}
+		conn, err := dialer.Dial("tcp", to.String())
 		if err != nil {
 			return 0, fmt.Errorf("idle connection %d: %w", i, err)
 		}
-		open = append(open, c)
+		conns = append(conns, conn)
 	}
-	time.Sleep(300 * time.Millisecond) // for the last of them to be accepted
+	time.Sleep(acceptTime)
 	return (residentBytes(pid) - before) / float64(n), nil
 }
-
-// drive asks a target for a span, from one loop. rate 0: closed loop, each connection asks anew when answered. Else
-// arrivals are Poisson at that rate, and latency counts from the intended time. Values are ns.
-func drive(to netip.AddrPort, conns int, rate float64, span time.Duration) (*hdrhistogram.Histogram, error) {
-	l, err := eventloop.New(0)
-	if err != nil {
-		return nil, err
-	}
-	d := &driver{l: l, pool: httpconn.NewPool(l, to, httpconn.PoolOptions{MaxConnections: conns, MaxIdle: conns, ConnectTimeout: 2}), rate: rate,
-		end: span.Seconds(), rnd: rand.New(rand.NewPCG(1, 2)), hist: hdrhistogram.New(1000, 60_000_000_000, 3)}
-	for i := range 16 {
-		head := fmt.Sprintf("POST /v2/models/m-%d/infer HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", i, to, len(driveBody))
-		d.heads = append(d.heads, []byte(head))
-	}
-	l.Defer(func() {
-		if rate > 0 {
-			d.timer.Fire = d.arrivals
-			d.arrivals()
-		} else {
-			for range conns {
-				d.ask(l.Clock())
-			}
-		}
-		stop := &eventloop.Timer{Fire: l.Stop}
-		l.Start(stop, span.Seconds()+0.2)
-	})
-	if err := l.Run(); err != nil {
-		return nil, err
-	}
-	if d.bad > 0 {
-		return nil, fmt.Errorf("%s: %d of %d answers were not 200: %v", to, d.bad, d.hist.TotalCount(), d.why)
-	}
-	if d.hist.TotalCount() == 0 {
-		return nil, errors.New("nothing was answered")
-	}
-	return d.hist, nil
-}
-
-var driveBody = []byte(`{"inputs":[{"name":"sheet","shape":[1],"datatype":"BYTES","data":["0123456789abcdef"]}]}`)
-
-type driver struct {
-	l     *eventloop.Loop
-	pool  *httpconn.Pool
-	rate  float64
-	end   float64
-	next  float64
-	rnd   *rand.Rand
-	hist  *hdrhistogram.Histogram
-	heads [][]byte
-	timer eventloop.Timer
-	n     int
-	bad   int
-	why   error
-	free  []*asked
-}
-
-type asked struct {
-	d    *driver
-	call httpconn.Call
-	at   float64
-	code int
-}
-
-func (d *driver) ask(at float64) {
-	var a *asked
-	if n := len(d.free); n > 0 {
-		a, d.free = d.free[n-1], d.free[:n-1]
-	} else {
-		a = &asked{d: d}
-		a.call.Handler = a
-	}
-	a.at = at
-	d.n++
-	d.pool.Do(&a.call, d.heads[d.n%len(d.heads)], driveBody)
-}
-
-// arrivals asks for all whose time has come.
-func (d *driver) arrivals() {
-	if d.next == 0 {
-		d.next = d.l.Clock()
-	}
-	for now := d.l.Clock(); d.next <= now; d.next += d.rnd.ExpFloat64() / d.rate {
-		if d.next < d.end {
-			d.ask(d.next)
-		}
-	}
-	if d.next < d.end {
-		d.l.Start(&d.timer, d.next-d.l.Now())
-	}
-}
-
-func (a *asked) ResponseHead(h *httpcodec.Head) { a.code = h.Status }
-func (a *asked) ResponseBody([]byte)            {}
-
-func (a *asked) ResponseDone(err error) {
-	d, now := a.d, a.d.l.Clock()
-	if err != nil || a.code != 200 {
-		d.bad++
-		d.why = err
-	}
-	if now < d.end {
-		d.hist.RecordValue(int64((now - a.at) * 1e9))
-		if d.rate == 0 {
-			d.free = append(d.free, a)
-			d.ask(now)
-			return
-		}
-	}
-	d.free = append(d.free, a)
-}
--- /dev/null
+++ b/internal/lab/bench_driver.go
@@ -0,0 +1,157 @@
+package lab
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
+)
+
+const (
+	benchModels       = 16
+	driverGrace       = 0.2 // s past the span for responses that are in flight
+	maxDriverLatency  = 60_000_000_000
+	minDriverLatency  = 1000 // ns
+	driverDialTimeout = 2    // s
+)
+
+var benchBody = []byte(`{"inputs":[{"name":"sheet","shape":[1],"datatype":"BYTES","data":["0123456789abcdef"]}]}`)
+
+// ErrNoResponses is returned by Bench if a target answers nothing.
+var ErrNoResponses = errors.New("nothing was answered")
+
+// drive sends requests to a target for a span, from one event loop, and returns the latencies in nanoseconds. At rate 0 it
+// is a closed loop: each connection sends the next request when it has a response. Otherwise arrivals are Poisson at the
+// rate, and latency counts from the intended time.
+func drive(to netip.AddrPort, conns int, rate float64, span time.Duration) (*hdrhistogram.Histogram, error) {
+	loop, err := eventloop.New(0)
+	if err != nil {
+		return nil, err
+	}
+	d := newDriver(loop, to, conns, rate, span)
+	loop.Defer(func() {
+		if rate > 0 {
+			d.timer.Fire = d.sendDue
+			d.sendDue()
+		} else {
+			for range conns {
+				d.send(loop.Clock())
+			}
+		}
+		loop.Start(&eventloop.Timer{Fire: loop.Stop}, span.Seconds()+driverGrace)
+	})
+	if err := loop.Run(); err != nil {
+		return nil, err
+	}
+	if d.failures > 0 {
+		return nil, fmt.Errorf("%s: %d of %d answers were not 200, the last: %w", to, d.failures, d.latencies.TotalCount(), d.lastErr)
+	}
+	if d.latencies.TotalCount() == 0 {
+		return nil, ErrNoResponses
+	}
+	return d.latencies, nil
+}
+
+// driver sends requests to a target from an event loop.
+type driver struct {
+	loop      *eventloop.Loop
+	pool      *httpconn.Pool
+	rate      float64 // 0 for a closed loop
+	end       float64 // on the loop's clock
+	nextAt    float64 // intended time of the next arrival; 0 before the first
+	rnd       *rand.Rand
+	latencies *hdrhistogram.Histogram
+	heads     [][]byte // of requests, by model
+	timer     eventloop.Timer
+	sent      int
+	failures  int
+	lastErr   error
+	free      []*drivenRequest
+}
+
+func newDriver(loop *eventloop.Loop, to netip.AddrPort, conns int, rate float64, span time.Duration) *driver {
+	d := &driver{loop: loop, rate: rate, end: span.Seconds(), rnd: rand.New(rand.NewPCG(1, 2)),
+		pool:      httpconn.NewPool(loop, to, httpconn.PoolOptions{MaxConnections: conns, MaxIdle: conns, ConnectTimeout: driverDialTimeout}),
+		latencies: hdrhistogram.New(minDriverLatency, maxDriverLatency, 3)}
+	for i := range benchModels {
+		head := fmt.Sprintf("POST /v2/models/m-%d/infer HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", i, to, len(benchBody))
+		d.heads = append(d.heads, []byte(head))
+	}
+	return d
+}
+
+// drivenRequest is a request in flight. It implements httpconn.ResponseHandler and is reused.
+type drivenRequest struct {
+	driver     *driver
+	call       httpconn.Call
+	intendedAt float64
+	status     int
+}
+
+// send sends a request that was due at a time.
+func (d *driver) send(intendedAt float64) {
+	r := d.takeRequest()
+	r.intendedAt = intendedAt
+	d.sent++
+	d.pool.Do(&r.call, d.heads[d.sent%len(d.heads)], benchBody)
+}
+
+func (d *driver) takeRequest() *drivenRequest {
+	if last := len(d.free) - 1; last >= 0 {
+		r := d.free[last]
+		d.free = d.free[:last]
+		return r
+	}
+	r := &drivenRequest{driver: d}
+	r.call.Handler = r
+	return r
+}
+
+// sendDue sends all requests that are due, and sets the timer for the next.
+func (d *driver) sendDue() {
+	if d.nextAt == 0 {
+		d.nextAt = d.loop.Clock()
+	}
+	for now := d.loop.Clock(); d.nextAt <= now; d.nextAt += d.rnd.ExpFloat64() / d.rate {
+		if d.nextAt < d.end {
+			d.send(d.nextAt)
+		}
+	}
+	if d.nextAt < d.end {
+		d.loop.Start(&d.timer, d.nextAt-d.loop.Now())
+	}
+}
+
+// ResponseHead implements httpconn.ResponseHandler.
+func (r *drivenRequest) ResponseHead(h *httpcodec.Head) { r.status = h.Status }
+
+// ResponseBody implements httpconn.ResponseHandler.
+func (r *drivenRequest) ResponseBody([]byte) {}
+
+// ResponseDone implements httpconn.ResponseHandler.
+func (r *drivenRequest) ResponseDone(err error) {
+	d := r.driver
+	now := d.loop.Clock()
+	if err == nil && r.status != 200 {
+		err = fmt.Errorf("status %d", r.status)
+	}
+	if err != nil {
+		d.failures++
+		d.lastErr = err
+	}
+	d.free = append(d.free, r)
+	if now >= d.end {
+		return
+	}
+	d.latencies.RecordValue(int64((now - r.intendedAt) * 1e9))
+	if d.rate == 0 {
+		d.send(now)
+	}
+}
--- a/internal/lab/convert.go
+++ b/internal/lab/convert.go
@@ -2,17 +2,19 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
-	"sort"
+	"slices"
 
 	"github.com/goccy/go-yaml"
 
 	"mastchute/internal/config"
+	"mastchute/internal/emulator"
 )
 
-// foreign is what is read of a day of the bench. Spans are microseconds, memory is kB.
-type foreign struct {
+// benchDay is what is read of a day of the bench. Times are in microseconds, memory is in kB.
+type benchDay struct {
 	Site    string  `json:"site"`
 	Kind    string  `json:"kind"`
 	Noise   uint64  `json:"noise"`
@@ -29,159 +31,283 @@
 		Retries   int     `json:"retries"`
 		Impatient float64 `json:"impatient"`
 	} `json:"clients"`
-	Grace   float64 `json:"drain_grace"`
-	Fall    float64 `json:"fall_for"`
-	FallBy  float64 `json:"fall_multiple"`
-	Classes []struct {
-		Name                                string
-		Share, Work, IO, Aim, Worth, Window float64
-		Deadline                            float64
-		Effect, Group                       string
-	} `json:"classes"`
-	Tiers []struct {
-		Kinds []struct {
-			Cores    float64
-			Queue    int
-			Cancel   string
-			ColdFrom float64 `json:"cold_from"`
-			Cold     float64
-		}
-	} `json:"tiers"`
-	Zones   []string `json:"zones"`
-	Servers []struct {
-		Kind  int
-		Speed float64
-	} `json:"servers"`
-	Balancers []json.RawMessage `json:"balancers"`
-	Troubles  []struct {
-		Kind  string
-		At    float64
-		Len   float64
-		Extra float64
-		Size  float64
-		On    []int
-	} `json:"troubles"`
-	Fam struct {
-		Catalog, Disk, Keep, Spare, Zipf float64
-		Fetch                            float64 `json:"fetch_share"`
-		LoadFree                         float64 `json:"load_free"`
-		LoadShare                        float64 `json:"load_share"`
-		LoadWindow                       float64 `json:"load_window"`
-		LoadsAtOnce                      int     `json:"loads_at_once"`
-		Orders                           bool    `json:"orders"`
-		SelfLoad                         bool    `json:"self_load"`
-		StoreTakes                       float64 `json:"store_takes"`
-		StoreHeadroom                    float64 `json:"store_headroom"`
-		Sorts                            []struct {
-			Lanes        int
-			Load, Memory float64
-		} `json:"sorts"`
-	} `json:"fam"`
-}
-
-// carried are the troubles of the bench that our stand-ins know, by our name.
-var carried = map[string]string{"fast_errors": "fast_errors", "hang": "hang", "vanish": "vanish", "slow": "slow", "pauses": "pauses", "ageing": "ageing",
-	"flush": "flush", "report_late": "report_late", "slow_connect": "slow_connect", "origin_slow": "store_slow", "neighbour": "slow"}
-
-// Convert turns a day of the bench into one of ours. left names, a line each, what cannot be carried over or is only
-// near. The error says why nothing came of it.
+	DrainGrace     float64           `json:"drain_grace"`
+	OverloadWindow float64           `json:"fall_for"`
+	OverloadFactor float64           `json:"fall_multiple"`
+	Classes        []benchClass      `json:"classes"`
+	Tiers          []benchTier       `json:"tiers"`
+	Zones          []string          `json:"zones"`
+	Servers        []benchServer     `json:"servers"`
+	Balancers      []json.RawMessage `json:"balancers"`
+	Faults         []benchFault      `json:"troubles"`
+	Loading        benchLoading      `json:"fam"`
+}
+
+// benchClass is a class of requests.
+type benchClass struct {
+	Name        string
+	Share       float64
+	Work        float64
+	IO          float64
+	Latency     float64 `json:"aim"`
+	Weight      float64 `json:"worth"`
+	DedupWindow float64 `json:"window"`
+	Deadline    float64
+	Effect      string
+	DedupScope  string `json:"group"`
+}
+
+// benchTier is a tier of servers by kind.
+type benchTier struct{ Kinds []benchServerKind }
+
+type benchServerKind struct {
+	Cores             float64
+	Queue             int
+	Cancel            string
+	SlowStartCapacity float64 `json:"cold_from"`
+	SlowStartDuration float64 `json:"cold"`
+}
+
+type benchServer struct {
+	Kind  int
+	Speed float64
+}
+
+type benchFault struct {
+	Kind    string
+	At      float64
+	Length  float64 `json:"len"`
+	Extra   float64
+	Size    float64
+	Servers []int `json:"on"`
+}
+
+// benchLoading describes models that are loaded on demand.
+type benchLoading struct {
+	Catalog, Disk, Keep, Spare, Zipf float64
+	FetchShare                       float64          `json:"fetch_share"`
+	LoadsFree                        float64          `json:"load_free"`
+	LoadShare                        float64          `json:"load_share"`
+	LoadWindow                       float64          `json:"load_window"`
+	ConcurrentLoads                  int              `json:"loads_at_once"`
+	Orders                           bool             `json:"orders"`
+	SelfLoad                         bool             `json:"self_load"`
+	StoreTakes                       float64          `json:"store_takes"`
+	StoreHeadroom                    float64          `json:"store_headroom"`
+	Models                           []benchModelKind `json:"sorts"` // by class
+}
+
+type benchModelKind struct {
+	Lanes        int
+	Load, Memory float64
+}
+
+// emulatedFaults maps the bench's faults that the emulator knows to its kinds.
+var emulatedFaults = map[string]string{
+	"fast_errors":  emulator.FaultFastErrors,
+	"hang":         emulator.FaultHang,
+	"vanish":       emulator.FaultVanish,
+	"slow":         emulator.FaultSlow,
+	"pauses":       emulator.FaultPauses,
+	"ageing":       emulator.FaultAgeing,
+	"flush":        emulator.FaultFlush,
+	"report_late":  emulator.FaultReportLate,
+	"slow_connect": emulator.FaultSlowConnect,
+	"origin_slow":  emulator.FaultStoreSlow,
+	"neighbour":    emulator.FaultSlow,
+}
+
+// ErrNoLoadedModels is returned by Convert for a file that describes no models that are loaded on demand.
+var ErrNoLoadedModels = errors.New("it holds no day of models that are loaded on demand: classes, servers, kinds, sorts or length are missing")
+
+// Convert converts a day of the bench to a scenario and returns its text. Each line of left names what is not carried over,
+// or only approximately.
 func Convert(in []byte) (text []byte, left []string, err error) {
-	var f foreign
-	if err := json.Unmarshal(in, &f); err != nil {
+	c := &converter{}
+	if err := json.Unmarshal(in, &c.day); err != nil {
 		return nil, nil, err
 	}
-	if len(f.Classes) == 0 || len(f.Servers) == 0 || len(f.Tiers) == 0 || len(f.Tiers[0].Kinds) == 0 || len(f.Fam.Sorts) < len(f.Classes) || f.Length <= 0 {
-		return nil, nil, fmt.Errorf("it holds no day of models that are loaded on demand: classes, servers, kinds, sorts or length are missing")
-	}
-	say := func(format string, a ...any) { left = append(left, fmt.Sprintf(format, a...)) }
-	secs := func(us float64) config.Duration { return config.S(math.Round(us/1e3) / 1e3) }
-	d := &Day{Name: f.Site + " " + f.Kind, Seed: f.Noise % 1e6, Size: 1, Seconds: secs(f.Length), Dispatchers: max(1, len(f.Balancers)), Settings: config.Default()}
-	cores, speed, queue, cold, share := 0.0, 0.0, 0, 0.0, 0.0
-	kinds := f.Tiers[0].Kinds
-	for _, s := range f.Servers {
-		k := kinds[min(s.Kind, len(kinds)-1)]
-		n := float64(len(f.Servers))
-		cores, speed, cold, share, queue = cores+k.Cores/n, speed+s.Speed/n, cold+k.Cold/n, share+k.ColdFrom/n, max(queue, k.Queue)
-	}
-	if len(kinds) > 1 || len(f.Servers) > 1 {
-		say("servers of several kinds and speeds: all get the mean, %.2f cores of speed %.2f", cores, speed)
-	}
-	if len(f.Tiers) > 1 {
-		say("%d tiers: only the first is played", len(f.Tiers))
-	}
-	memory := f.Fam.Spare / 1e3 * cores
-	perWorker := memory + 0.5*cores*f.Fam.Sorts[0].Memory/1e3
-	d.Fleet = Fleet{Workers: len(f.Servers), Zones: max(1, len(f.Zones)), Cores: round3(cores), Speed: round3(math.Max(0.01, speed)), Memory: config.B(int64(perWorker * 1e6)), Queue: queue,
-		Loads: max(1, f.Fam.LoadsAtOnce), Disk: f.Fam.Disk > 0, StopsCancelled: kinds[0].Cancel == "all", Keep: secs(f.Fam.Keep)}
-	d.Settings.Groups = nil
-	r := &d.Settings.Rules
-	r.DrainGrace, r.ColdShare, r.WarmAfter, r.OverloadFactor, r.Fall = secs(f.Grace), round3(share), secs(cold), f.FallBy, secs(f.Fall)
-	d.Settings.Loads.OnMiss, d.Settings.Loads.Keep = "miss", d.Fleet.Keep
-	if f.Fam.SelfLoad {
-		d.Settings.Loads.OnMiss = "load"
-	}
-	if f.Fam.LoadShare > 0 {
-		d.Settings.Loads.Window, d.Settings.Loads.Few, d.Settings.Loads.Share = secs(f.Fam.LoadWindow), f.Fam.LoadFree, f.Fam.LoadShare
-	}
-	work, copies := 0.0, 0.0
-	for i, c := range f.Classes {
-		copies += c.Share * f.Fam.Sorts[i].Memory / 1e3
-	}
-	// One copy of each model takes the share "catalog" of all memory for copies.
-	models := math.Max(1, f.Fam.Catalog*memory*float64(len(f.Servers))/math.Max(1, copies))
-	for i, c := range f.Classes {
-		s := f.Fam.Sorts[i]
-		g := config.Group{Name: c.Name, SLO: secs(c.Aim), Timeout: secs(c.Deadline), Value: math.Max(0.1, c.Worth),
-			Effect: map[string]string{"safe": "retriable", "keyed": "deduped"}[c.Effect]}
-		if g.Effect == "" {
-			g.Effect = "non-retriable"
-		}
-		if g.Effect == "deduped" {
-			g.Scope, g.Window = c.Group, secs(c.Window)
-		}
-		d.Settings.Groups = append(d.Settings.Groups, g)
-		work += c.Share * (c.Work + c.IO) / 1e6
-		d.Models = append(d.Models, Models{Name: c.Name, Group: c.Name, Count: max(1, int(models*c.Share)), Memory: config.B(int64(s.Memory * 1e3)), Lanes: max(1, s.Lanes),
-			Work: secs(c.Work + c.IO), Fetch: secs(s.Load * f.Fam.Fetch), Boot: secs(s.Load * (1 - f.Fam.Fetch)), Share: round3(c.Share), Zipf: f.Fam.Zipf})
-		if c.IO > 0 {
-			say("model group %s: %.0f ms of I/O in an inference take a core here", c.Name, c.IO/1e3)
-		}
+	if !c.day.isComplete() {
+		return nil, nil, ErrNoLoadedModels
 	}
-	say("run times are drawn evenly about the mean, and models of a group are alike: no heavy tails, no spread of sizes")
-	d.Clients = Clients{Rate: round3(f.Traffic.Load * float64(len(f.Servers)) * cores * speed / work), Retries: f.Clients.Retries, Impatient: f.Clients.Impatient}
-	d.Network = Network{Delay: config.S(math.Round(f.Net.Same) / 1e6), Jitter: config.S(math.Round(f.Net.Same*f.Net.Jitter) / 1e6)}
-	d.Fleet.StoreSlots = max(1, int(f.Fam.StoreTakes*f.Fam.StoreHeadroom))
-	d.Fleet.StoreLimit = 4 * d.Fleet.StoreSlots
-	say("the store's pace, its falls and its refusals are near: %d fetches at full pace", d.Fleet.StoreSlots)
-	say("load over the day, popularity that shifts, timed batches and tenants are not carried over")
-	for _, t := range f.Troubles {
-		kind, ok := carried[t.Kind]
-		if !ok {
-			say("trouble %s at %.1f s for %.1f s is not carried over: the stand-ins know none like it", t.Kind, t.At/1e6, t.Len/1e6)
-			continue
-		}
-		x := Trouble{At: secs(t.At), For: secs(t.Len), Kind: kind, Factor: round3(math.Max(1.1, t.Size)), Share: math.Min(1, round3(math.Max(0.05, t.Extra)))}
-		if x.At.Seconds >= d.Seconds.Seconds {
-			say("trouble %s at %.1f s comes after the end", t.Kind, t.At/1e6)
-			continue
-		}
-		on := append([]int(nil), t.On...)
-		sort.Ints(on)
-		if kind == "store_slow" || len(on) == 0 {
-			d.Troubles = append(d.Troubles, x)
-			continue
-		}
-		for _, w := range on {
-			if x.Worker = fmt.Sprintf("w%d", w+1); w < len(f.Servers) {
-				d.Troubles = append(d.Troubles, x)
-			}
+	c.convertSite()
+	c.convertFleet()
+	c.convertSettings()
+	meanWork := c.convertClasses()
+	c.convertLoad(meanWork)
+	c.convertStore()
+	for _, f := range c.day.Faults {
+		c.convertFault(f)
+	}
+	text, err = yaml.Marshal(c.scenario)
+	if err != nil {
+		return nil, c.left, err
+	}
+	_, err = ParseScenario("converted", text, Simulated)
+	return text, c.left, err
+}
+
+func (d *benchDay) isComplete() bool {
+	return len(d.Classes) > 0 && len(d.Servers) > 0 && len(d.Tiers) > 0 && len(d.Tiers[0].Kinds) > 0 &&
+		len(d.Loading.Models) >= len(d.Classes) && d.Length > 0
+}
+
+// converter holds a day of the bench and the scenario that it becomes.
+type converter struct {
+	day      benchDay
+	scenario Scenario
+	left     []string
+	mean     meanServer
+}
+
+// meanServer is the mean of all servers of the first tier; the queue is the longest.
+type meanServer struct {
+	cores, speed, slowStartDuration, slowStartCapacity float64
+	queue                                              int
+}
+
+func (c *converter) note(format string, args ...any) {
+	c.left = append(c.left, fmt.Sprintf(format, args...))
+}
+
+// fromMicros converts microseconds to a duration in whole milliseconds.
+func fromMicros(us float64) config.Duration { return config.S(math.Round(us/1e3) / 1e3) }
+
+func (c *converter) convertSite() {
+	day := &c.day
+	c.scenario = Scenario{Name: day.Site + " " + day.Kind, Seed: day.Noise % 1e6, Size: 1, Length: fromMicros(day.Length),
+		Dispatchers: max(1, len(day.Balancers)), Settings: config.Default()}
+	kinds := day.Tiers[0].Kinds
+	n := float64(len(day.Servers))
+	for _, server := range day.Servers {
+		kind := kinds[min(server.Kind, len(kinds)-1)]
+		c.mean.cores += kind.Cores / n
+		c.mean.speed += server.Speed / n
+		c.mean.slowStartDuration += kind.SlowStartDuration / n
+		c.mean.slowStartCapacity += kind.SlowStartCapacity / n
+		c.mean.queue = max(c.mean.queue, kind.Queue)
+	}
+	if len(kinds) > 1 || len(day.Servers) > 1 {
+		c.note("servers of several kinds and speeds: all get the mean, %.2f cores of speed %.2f", c.mean.cores, c.mean.speed)
+	}
+	if len(day.Tiers) > 1 {
+		c.note("%d tiers: only the first is played", len(day.Tiers))
+	}
+}
+
+// spareMB is the memory of a worker for copies beyond those in use.
+func (c *converter) spareMB() float64 { return c.day.Loading.Spare / 1e3 * c.mean.cores }
+
+func (c *converter) convertFleet() {
+	day := &c.day
+	memoryMB := c.spareMB() + 0.5*c.mean.cores*day.Loading.Models[0].Memory/1e3
+	c.scenario.Fleet = Fleet{Workers: len(day.Servers), Zones: max(1, len(day.Zones)), Cores: round3(c.mean.cores),
+		Speed: round3(math.Max(0.01, c.mean.speed)), Memory: config.B(int64(memoryMB * 1e6)), Queue: c.mean.queue,
+		Loads: max(1, day.Loading.ConcurrentLoads), Disk: day.Loading.Disk > 0, StopsCancelled: day.Tiers[0].Kinds[0].Cancel == "all",
+		Keep: fromMicros(day.Loading.Keep)}
+}
+
+func (c *converter) convertSettings() {
+	day := &c.day
+	rules := &c.scenario.Settings.Rules
+	rules.DrainGrace = fromMicros(day.DrainGrace)
+	rules.ColdShare = round3(c.mean.slowStartCapacity)
+	rules.WarmAfter = fromMicros(c.mean.slowStartDuration)
+	rules.OverloadFactor = day.OverloadFactor
+	rules.Fall = fromMicros(day.OverloadWindow)
+	loads := &c.scenario.Settings.Loads
+	loads.OnMiss = string(emulator.RejectOnMiss)
+	if day.Loading.SelfLoad {
+		loads.OnMiss = string(emulator.LoadOnMiss)
+	}
+	loads.Keep = c.scenario.Fleet.Keep
+	if day.Loading.LoadShare > 0 {
+		loads.Window = fromMicros(day.Loading.LoadWindow)
+		loads.Few = day.Loading.LoadsFree
+		loads.Share = day.Loading.LoadShare
+	}
+}
+
+// convertClasses converts the classes to model groups and their models. It returns the mean work of a request in seconds.
+func (c *converter) convertClasses() (meanWork float64) {
+	day := &c.day
+	meanCopyMB := 0.0
+	for i, class := range day.Classes {
+		meanCopyMB += class.Share * day.Loading.Models[i].Memory / 1e3
+	}
+	// One copy of each model takes the fraction Catalog of all memory for copies.
+	models := math.Max(1, day.Loading.Catalog*c.spareMB()*float64(len(day.Servers))/math.Max(1, meanCopyMB))
+	c.scenario.Settings.Groups = nil
+	for i, class := range day.Classes {
+		kind := day.Loading.Models[i]
+		c.scenario.Settings.Groups = append(c.scenario.Settings.Groups, class.group())
+		meanWork += class.Share * (class.Work + class.IO) / 1e6
+		c.scenario.Models = append(c.scenario.Models, ModelSet{Name: class.Name, Group: class.Name, Count: max(1, int(models*class.Share)),
+			Memory: config.B(int64(kind.Memory * 1e3)), Lanes: max(1, kind.Lanes), Work: fromMicros(class.Work + class.IO),
+			Fetch: fromMicros(kind.Load * day.Loading.FetchShare), Boot: fromMicros(kind.Load * (1 - day.Loading.FetchShare)),
+			Share: round3(class.Share), Zipf: day.Loading.Zipf})
+		if class.IO > 0 {
+			c.note("model group %s: %.0f ms of I/O in an inference take a core here", class.Name, class.IO/1e3)
 		}
 	}
-	text, err = yaml.Marshal(d)
-	if err == nil {
-		_, err = ParseDay("converted", text, Simulated)
+	c.note("run times are drawn evenly about the mean, and models of a group are alike: no heavy tails, no spread of sizes")
+	return meanWork
+}
+
+func (class *benchClass) group() config.Group {
+	g := config.Group{Name: class.Name, SLO: fromMicros(class.Latency), Timeout: fromMicros(class.Deadline), Value: math.Max(0.1, class.Weight)}
+	switch class.Effect {
+	case "safe":
+		g.Effect = effectRetriable
+	case "keyed":
+		g.Effect = effectDeduped
+		g.Scope = class.DedupScope
+		g.Window = fromMicros(class.DedupWindow)
+	default:
+		g.Effect = effectNonRetriable
 	}
-	return text, left, err
+	return g
+}
+
+func (c *converter) convertLoad(meanWork float64) {
+	day := &c.day
+	capacity := float64(len(day.Servers)) * c.mean.cores * c.mean.speed
+	c.scenario.Clients = Clients{Rate: round3(day.Traffic.Load * capacity / meanWork), Retries: day.Clients.Retries, Impatient: day.Clients.Impatient}
+	c.scenario.Network = Network{Delay: config.S(math.Round(day.Net.Same) / 1e6), Jitter: config.S(math.Round(day.Net.Same*day.Net.Jitter) / 1e6)}
+}
+
+// storeLimitFactor is the multiple of the store's concurrent fetches at full speed beyond which it rejects more.
+const storeLimitFactor = 4
+
+func (c *converter) convertStore() {
+	slots := max(1, int(c.day.Loading.StoreTakes*c.day.Loading.StoreHeadroom))
+	c.scenario.Fleet.StoreSlots = slots
+	c.scenario.Fleet.StoreLimit = storeLimitFactor * slots
+	c.note("the store's pace, its falls and its refusals are near: %d fetches at full pace", slots)
+	c.note("load over the day, popularity that shifts, timed batches and tenants are not carried over")
 }
 
-func round3(x float64) float64 { return math.Round(x*1000) / 1000 }
+// convertFault converts a fault to one for each server that it affects.
+func (c *converter) convertFault(bf benchFault) {
+	kind, ok := emulatedFaults[bf.Kind]
+	if !ok {
+		c.note("trouble %s at %.1f s for %.1f s is not carried over: the stand-ins know none like it", bf.Kind, bf.At/1e6, bf.Length/1e6)
+		return
+	}
+	f := Fault{At: fromMicros(bf.At), For: fromMicros(bf.Length), Kind: kind, Factor: round3(math.Max(1.1, bf.Size)),
+		Share: math.Min(1, round3(math.Max(0.05, bf.Extra)))}
+	if f.At.Seconds >= c.scenario.Length.Seconds {
+		c.note("trouble %s at %.1f s comes after the end", bf.Kind, bf.At/1e6)
+		return
+	}
+	if kind == emulator.FaultStoreSlow || len(bf.Servers) == 0 {
+		c.scenario.Faults = append(c.scenario.Faults, f)
+		return
+	}
+	for _, server := range slices.Sorted(slices.Values(bf.Servers)) {
+		if server < len(c.day.Servers) {
+			f.Worker = workerName(server)
+			c.scenario.Faults = append(c.scenario.Faults, f)
+		}
+	}
+}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -1,229 +1,143 @@
 package lab
 
 import (
-	"context"
 	"fmt"
-	"io"
 	"math"
 	"math/rand/v2"
-	"slices"
-	"sort"
 
 	"github.com/goccy/go-yaml"
 
 	"mastchute/internal/config"
+	"mastchute/internal/emulator"
 )
 
-// Draw makes a day by chance: a site, its load, and up to four troubles, kills, drains or a release, some of them at
-// the same time. The same seed makes the same day.
+const (
+	drawStream     = 6    // of the random source
+	drawnLength    = 30.0 // s
+	drawnStoreMax  = 200  // concurrent fetches
+	drawnMaxRate   = 2000.0
+	drawnImpatient = 0.02
+)
+
+// Kinds of incidents in drawn scenarios that are no faults of workers.
+const (
+	drawnKill    = "kill"
+	drawnDrain   = "drain"
+	drawnRelease = "release"
+	drawnBurst   = "burst"
+)
+
+// Draw draws a scenario and returns its text: a site, its load, and up to four faults, kills, drains or a release, some of
+// them at the same time. The same seed draws the same scenario.
 func Draw(seed uint64) ([]byte, error) {
-	rnd := rand.New(rand.NewPCG(seed, 6))
-	among := func(lo, hi float64) float64 { return lo * math.Pow(hi/lo, rnd.Float64()) } // log-uniform
-	round := func(x float64) float64 { return math.Round(x*1000) / 1000 }
-	secs := func(lo, hi float64) config.Duration { return config.S(round(among(lo, hi))) }
-	d := &Day{Name: fmt.Sprintf("drawn %d", seed), Seed: seed, Size: 1, Seconds: config.S(30), Settings: config.Default()}
-	d.Fleet = Fleet{Workers: int(among(4, 100)), Zones: 1 + rnd.IntN(3), Cores: float64(2 + rnd.IntN(5)), Speed: 1, Memory: config.B(int64(1+rnd.IntN(4)) * 1e9),
-		Queue: 4 + rnd.IntN(30), Loads: 2 + rnd.IntN(5), Disk: rnd.IntN(2) > 0, StopsCancelled: rnd.IntN(2) > 0, StoreSlots: 4 + rnd.IntN(20), StoreLimit: 200,
-		Keep: secs(4, 20)}
-	d.Dispatchers = int(among(1, 3*float64(d.Fleet.Workers)))
-	g := func(name, effect, scope string, value float64) {
-		d.Settings.Groups = append(d.Settings.Groups, config.Group{Name: name, Effect: effect, Scope: scope, Window: secs(2, 4), SLO: secs(0.5, 1.2),
-			Timeout: secs(2, 5), Value: value})
-	}
-	d.Settings.Groups = nil
-	g("read", "retriable", "", 1)
-	g("write", "deduped", []string{"all", "zone"}[rnd.IntN(2)], 2)
-	d.Settings.Groups[0].Window = config.Duration{}
-	g("once", "non-retriable", "", 3)
-	d.Settings.Groups[2].Window = config.Duration{}
-	d.Settings.Loads.OnMiss, d.Settings.Loads.Keep = []string{"load", "miss"}[rnd.IntN(2)], d.Fleet.Keep
-	r := &d.Settings.Rules
-	r.DrainGrace, r.ColdShare, r.WarmAfter, r.OverloadFactor, r.Fall = config.S(0.5), round(among(0.15, 0.5)), secs(3, 12), float64(2+rnd.IntN(3)), config.S(1)
-	work := 0.0
-	for i, name := range []string{"read", "write", "once"} {
-		m := Models{Name: name, Group: name, Count: int(among(2, 6*float64(d.Fleet.Workers))), Memory: config.B(int64(among(1e8, 5e8))), Lanes: 1 + rnd.IntN(4),
-			Work: secs(0.03, 0.25), Fetch: secs(0.1, 1), Boot: secs(0.05, 0.5), Share: []float64{5, 3, 2}[i], Zipf: round(0.8 + 0.5*rnd.Float64())}
-		work += m.Share / 10 * m.Work.Seconds
-		d.Models = append(d.Models, m)
-	}
-	full := float64(d.Fleet.Workers) * d.Fleet.Cores / work
-	d.Clients = Clients{Rate: math.Round(math.Min(2000, full*(0.4+0.5*rnd.Float64()))*10) / 10, Retries: rnd.IntN(3), Impatient: 0.02}
-	kinds := append(KindNames(), "kill", "drain", "release", "burst")
-	at, long := 0.0, 0.0
-	for i := range 1 + rnd.IntN(4) {
-		if i%2 == 0 || rnd.IntN(2) > 0 { // else together with the last one
-			at, long = round(4+16*rnd.Float64()), round(among(1, 8))
-		}
-		w := fmt.Sprintf("w%d", 1+rnd.IntN(d.Fleet.Workers))
-		if rnd.IntN(3) == 0 {
-			w = fmt.Sprintf("w*%d", rnd.IntN(10)) // a tenth of them, or all of few
-		}
-		switch kind := kinds[rnd.IntN(len(kinds))]; kind {
-		case "kill":
-			d.Kills = append(d.Kills, Kill{config.S(at), config.S(1), rnd.IntN(d.Dispatchers)})
-		case "drain":
-			d.Drains = append(d.Drains, Drain{config.S(at), config.S(long), fmt.Sprintf("w%d", 1+rnd.IntN(d.Fleet.Workers)), "draining"})
-		case "release":
-			d.Releases = []Release{{config.S(at), config.S(2), 1 + d.Fleet.Workers/12, config.S(1), config.S(2)}}
-		case "burst":
-			d.Clients.Bursts = append(d.Clients.Bursts, Burst{Span{config.S(at), config.S(long)}, round(among(1.3, 4))})
-		default:
-			d.Troubles = append(d.Troubles, Trouble{config.S(at), config.S(long), kind, w, round(among(0.1, 1)), round(among(2, 10)), "read"})
-		}
-	}
-	return yaml.Marshal(d)
+	d := &drawer{rnd: rand.New(rand.NewPCG(seed, drawStream))}
+	s := &Scenario{Name: fmt.Sprintf("drawn %d", seed), Seed: seed, Size: 1, Length: config.S(drawnLength), Settings: config.Default()}
+	d.drawSite(s)
+	d.drawSettings(s)
+	meanWork := d.drawModels(s)
+	d.drawClients(s, meanWork)
+	d.drawIncidents(s)
+	return yaml.Marshal(s)
 }
 
-const lossLeast = 0.01 // of service: less is the chance of a run, and nothing would be left of the day when shrunk
+// drawer draws the parts of a scenario. The order of the draws is part of the scenario of a seed.
+type drawer struct{ rnd *rand.Rand }
 
-// Found is a day that a hunt found weak.
-type Found struct {
-	Text    []byte
-	Name    string
-	Service float64
-	Quiet   float64 // the same day without its troubles
-	Broken  []Finding
+// logUniform draws from low to high, each order of magnitude alike.
+func (d *drawer) logUniform(low, high float64) float64 {
+	return low * math.Pow(high/low, d.rnd.Float64())
 }
 
-// quiet is the day without anything that goes wrong.
-func (d *Day) quiet() *Day {
-	c := *d
-	c.Troubles, c.Kills, c.Drains, c.Releases, c.Stale, c.Clients.Bursts = nil, nil, nil, nil, nil, nil
-	return &c
-}
+func (d *drawer) rounded(low, high float64) float64 { return round3(d.logUniform(low, high)) }
 
-// Hunt plays drawn days from a seed on and returns the weak ones: those with a broken rule, then those that lose most
-// against the same day without its troubles.
-func Hunt(ctx context.Context, from uint64, budget, keep, jobs int, say io.Writer) ([]Found, error) {
-	all, errs := make([]*Found, budget), make([]error, budget)
-	each(jobs, budget, func(k int) {
-		if ctx.Err() != nil {
-			return
-		}
-		text, err := Draw(from + uint64(k))
-		var d *Day
-		if err == nil {
-			d, err = ParseDay("drawn", text, Simulated)
-		}
-		if err != nil {
-			errs[k] = fmt.Errorf("seed %d: %w", from+uint64(k), err)
-			return
-		}
-		q := *d
-		_, rep := Simulate(ctx, d, nil, nil)
-		_, calm := Simulate(ctx, q.quiet(), nil, nil)
-		if ctx.Err() == nil {
-			all[k] = &Found{text, d.Name, rep.Service, calm.Service, broken(rep)}
-			fmt.Fprintf(say, "%s: service %.3f, %.3f without troubles, rules broken %d\n", d.Name, rep.Service, calm.Service, len(broken(rep)))
-		}
-	})
-	var out []Found
-	for k, f := range all {
-		if errs[k] != nil {
-			return nil, errs[k]
-		}
-		if f != nil && (len(f.Broken) > 0 || f.Quiet-f.Service > lossLeast) {
-			out = append(out, *f)
-		}
-	}
-	sort.SliceStable(out, func(i, j int) bool {
-		if a, b := len(out[i].Broken), len(out[j].Broken); a != b {
-			return a > b
-		}
-		return out[i].Quiet-out[i].Service > out[j].Quiet-out[j].Service
-	})
-	return out[:min(keep, len(out))], nil
+func (d *drawer) duration(low, high float64) config.Duration { return config.S(d.rounded(low, high)) }
+
+func (d *drawer) coin() bool { return d.rnd.IntN(2) > 0 }
+
+func (d *drawer) worker(s *Scenario) string { return workerName(d.rnd.IntN(s.Fleet.Workers)) }
+
+// round3 rounds to three decimal places.
+func round3(x float64) float64 { return math.Round(x*1000) / 1000 }
+
+func (d *drawer) drawSite(s *Scenario) {
+	s.Fleet = Fleet{Workers: int(d.logUniform(4, 100)), Zones: 1 + d.rnd.IntN(3), Cores: float64(2 + d.rnd.IntN(5)), Speed: 1,
+		Memory: config.B(int64(1+d.rnd.IntN(4)) * 1e9), Queue: 4 + d.rnd.IntN(30), Loads: 2 + d.rnd.IntN(5), Disk: d.coin(),
+		StopsCancelled: d.coin(), StoreSlots: 4 + d.rnd.IntN(20), StoreLimit: drawnStoreMax, Keep: d.duration(4, 20)}
+	s.Dispatchers = int(d.logUniform(1, 3*float64(s.Fleet.Workers)))
 }
 
-func broken(rep *Report) (out []Finding) {
-	for _, f := range rep.Findings {
-		if f.Broken > 0 {
-			out = append(out, f)
-		}
-	}
-	return out
+func (d *drawer) drawSettings(s *Scenario) {
+	read := d.group("read", effectRetriable, "", 1)
+	read.Window = config.Duration{}
+	scope := []string{"all", "zone"}[d.rnd.IntN(2)]
+	write := d.group("write", effectDeduped, scope, 2)
+	once := d.group("once", effectNonRetriable, "", 3)
+	once.Window = config.Duration{}
+	s.Settings.Groups = []config.Group{read, write, once}
+	s.Settings.Loads.OnMiss = []string{"load", "miss"}[d.rnd.IntN(2)]
+	s.Settings.Loads.Keep = s.Fleet.Keep
+	rules := &s.Settings.Rules
+	rules.DrainGrace = config.S(0.5)
+	rules.ColdShare = d.rounded(0.15, 0.5)
+	rules.WarmAfter = d.duration(3, 12)
+	rules.OverloadFactor = float64(2 + d.rnd.IntN(3))
+	rules.Fall = config.S(1)
 }
 
-// weak tells whether a day still shows what was found: the broken rule, or three quarters of the loss.
-func (f *Found) weak(ctx context.Context, text []byte) bool {
-	d, err := ParseDay("shrunk", text, Simulated)
-	if err != nil {
-		return false
-	}
-	q := *d
-	_, rep := Simulate(ctx, d, nil, nil)
-	for _, b := range f.Broken {
-		return rep.Findings[b.Rule-1].Broken > 0
-	}
-	_, calm := Simulate(ctx, q.quiet(), nil, nil)
-	return calm.Service-rep.Service >= 0.75*(f.Quiet-f.Service)
+func (d *drawer) group(name, effect, scope string, value float64) config.Group {
+	return config.Group{Name: name, Effect: effect, Scope: scope, Window: d.duration(2, 4), SLO: d.duration(0.5, 1.2),
+		Timeout: d.duration(2, 5), Value: value}
 }
 
-// Shrink takes away what a found day does not need to be weak: things that go wrong, then size, length and models,
-// until nothing more can go.
-func Shrink(ctx context.Context, f Found, say io.Writer) []byte {
-	text := f.Text
-	for again := true; again && ctx.Err() == nil; {
-		again = false
-		for _, less := range smaller(text) {
-			if t, err := yaml.Marshal(less.day); err == nil && ctx.Err() == nil && f.weak(ctx, t) {
-				fmt.Fprintf(say, "%s: without %s it is as weak\n", f.Name, less.what)
-				text, again = t, true
-				break
-			}
-		}
-	}
-	return text
+// drawModels draws a set of models for each group and returns the mean work of a request in seconds.
+func (d *drawer) drawModels(s *Scenario) (meanWork float64) {
+	shares := []float64{5, 3, 2} // of ten
+	for i, group := range s.Settings.Groups {
+		m := ModelSet{Name: group.Name, Group: group.Name, Count: int(d.logUniform(2, 6*float64(s.Fleet.Workers))),
+			Memory: config.B(int64(d.logUniform(1e8, 5e8))), Lanes: 1 + d.rnd.IntN(4), Work: d.duration(0.03, 0.25), Fetch: d.duration(0.1, 1),
+			Boot: d.duration(0.05, 0.5), Share: shares[i], Zipf: round3(0.8 + 0.5*d.rnd.Float64())}
+		meanWork += m.Share / 10 * m.Work.Seconds
+		s.Models = append(s.Models, m)
+	}
+	return meanWork
 }
 
-type lesser struct {
-	what string
-	day  *Day
+// drawClients draws a load of 40% to 90% of what the workers can do.
+func (d *drawer) drawClients(s *Scenario, meanWork float64) {
+	capacity := float64(s.Fleet.Workers) * s.Fleet.Cores / meanWork
+	rate := math.Min(drawnMaxRate, capacity*(0.4+0.5*d.rnd.Float64()))
+	s.Clients = Clients{Rate: math.Round(rate*10) / 10, Retries: d.rnd.IntN(3), Impatient: drawnImpatient}
 }
 
-// smaller lists the days that are one step less than this one.
-func smaller(text []byte) (out []lesser) {
-	read := func() *Day {
-		d, _, err := decodeDay("", text)
-		if err != nil {
-			return &Day{} // it was read before
+func (d *drawer) drawIncidents(s *Scenario) {
+	kinds := append(emulator.FaultNames(), drawnKill, drawnDrain, drawnRelease, drawnBurst)
+	var span Span
+	for i := range 1 + d.rnd.IntN(4) {
+		if i%2 == 0 || d.coin() { // otherwise at the same time as the last one
+			at := round3(4 + 16*d.rnd.Float64())
+			span = Span{At: config.S(at), For: d.duration(1, 8)}
 		}
-		return d
-	}
-	d := read()
-	step := func(what string, f func(d *Day)) {
-		c := read()
-		f(c)
-		out = append(out, lesser{what, c})
-	}
-	for i, t := range d.Troubles {
-		step("trouble "+t.Kind, func(d *Day) { d.Troubles = slices.Delete(d.Troubles, i, i+1) })
-	}
-	for i := range d.Kills {
-		step("a kill", func(d *Day) { d.Kills = slices.Delete(d.Kills, i, i+1) })
-	}
-	for i := range d.Drains {
-		step("a drain", func(d *Day) { d.Drains = slices.Delete(d.Drains, i, i+1) })
-	}
-	for i := range d.Clients.Bursts {
-		step("a burst", func(d *Day) { d.Clients.Bursts = slices.Delete(d.Clients.Bursts, i, i+1) })
-	}
-	if len(d.Releases) > 0 {
-		step("the release", func(d *Day) { d.Releases = nil })
-	}
-	if d.Dispatchers > 1 && len(d.Kills) == 0 {
-		step("half its dispatchers", func(d *Day) { d.Dispatchers /= 2 })
-	}
-	if d.Clients.Retries > 0 {
-		step("retries", func(d *Day) { d.Clients.Retries = 0 })
-	}
-	if d.Clients.Impatient > 0 {
-		step("impatient clients", func(d *Day) { d.Clients.Impatient = 0 })
-	}
-	if len(d.Models) > 1 {
-		for i, m := range d.Models {
-			step("models "+m.Name, func(d *Day) { d.Models = slices.Delete(d.Models, i, i+1) })
+		workers := d.worker(s)
+		if d.rnd.IntN(3) == 0 {
+			workers = fmt.Sprintf("w*%d", d.rnd.IntN(10)) // a tenth of many, or all of few
 		}
+		d.drawIncident(s, kinds[d.rnd.IntN(len(kinds))], span, workers)
+	}
+}
+
+// drawIncident adds one incident to the scenario.
+func (d *drawer) drawIncident(s *Scenario, kind string, span Span, workers string) {
+	switch kind {
+	case drawnKill:
+		s.Kills = append(s.Kills, Kill{At: span.At, Down: config.S(1), Dispatcher: d.rnd.IntN(s.Dispatchers)})
+	case drawnDrain:
+		s.Drains = append(s.Drains, Drain{At: span.At, For: span.For, Worker: d.worker(s), State: stateDraining})
+	case drawnRelease:
+		s.Releases = []Release{{At: span.At, Every: config.S(2), Together: 1 + s.Fleet.Workers/12, Drain: config.S(1), Down: config.S(2)}}
+	case drawnBurst:
+		s.Clients.Bursts = append(s.Clients.Bursts, Burst{Span: span, Factor: d.rounded(1.3, 4)})
+	default:
+		s.Faults = append(s.Faults, Fault{At: span.At, For: span.For, Kind: kind, Worker: workers, Share: d.rounded(0.1, 1),
+			Factor: d.rounded(2, 10), What: "read"})
 	}
-	return out
 }
--- a/internal/lab/experiment_test.go
+++ b/internal/lab/experiment_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-func TestVerdicts(t *testing.T) {
+func TestVerdict(t *testing.T) {
 	for _, c := range []struct {
 		x    []float64
-		says string
+		want string
 	}{
 		{[]float64{0.1}, ""}, {[]float64{0.1, 0.11, 0.09, 0.1}, "clear"}, {[]float64{0.001, -0.001, 0.0005, -0.0005}, "hopeless"},
 		{[]float64{0.2, -0.2, 0.1, -0.05}, ""}, {[]float64{0, 0, 0, 0}, "hopeless"},
 	} {
-		if got := verdict(c.x, 0.005); got != c.says {
-			t.Errorf("%v: %q, not %q", c.x, got, c.says)
+		if got := verdict(c.x, 0.005); got != c.want {
+			t.Errorf("%v: %q, not %q", c.x, got, c.want)
 		}
 	}
 	if h := halfWidth([]float64{1, 2, 3, 4}, 0.95); math.Abs(h-2.0542) > 1e-3 { // t(0.975, 3) = 3.1824
@@ -30,7 +30,7 @@
 	}
 }
 
-const tiny = `name: tiny
+const tinyScenario = `name: tiny
 length: 8s
 settings:
   groups: [{name: g, effect: retriable, slo: 500ms, timeout: 1s}]
@@ -40,8 +40,8 @@
 clients: {rate: 30}
 `
 
-func TestSweepIsTheSameHoweverManyAtOnce(t *testing.T) {
-	list, err := Vary([]byte(tiny), []string{"fleet.workers", "settings.groups[0].slo"}, [][]string{{"1", "3"}, {"500ms", "60ms"}})
+func TestExperimentDoesNotDependOnJobs(t *testing.T) {
+	list, err := Vary([]byte(tinyScenario), []string{"fleet.workers", "settings.groups[0].slo"}, [][]string{{"1", "3"}, {"500ms", "60ms"}})
 	if err != nil || len(list) != 4 || list[3].Name != "fleet.workers=3 settings.groups[0].slo=60ms" {
 		t.Fatalf("%v %+v", err, list)
 	}
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if rows[1].Stopped != "clear" || rows[1].Seeds != 4 || rows[1].Diff > -0.05 {
+		if rows[1].Stopped != "clear" || rows[1].Seeds != 4 || rows[1].Difference > -0.05 {
 			t.Errorf("an SLO time of little more than the work: %+v", rows[1])
 		}
 		var b bytes.Buffer
@@ -60,7 +60,7 @@
 	if a, b := play(1), play(4); a != b {
 		t.Errorf("%s\n%s", a, b)
 	}
-	bad, _ := Vary([]byte(tiny), []string{"fleet.workers"}, [][]string{{"-1", "2"}})
+	bad, _ := Vary([]byte(tinyScenario), []string{"fleet.workers"}, [][]string{{"-1", "2"}})
 	if _, err := Experiment(context.Background(), bad, Limits{Seeds: 4}, io.Discard); err == nil || !strings.Contains(err.Error(), "fleet.workers") {
 		t.Errorf("a variant out of range: %v", err)
 	}
@@ -68,33 +68,33 @@
 		t.Error("one seed was taken for an interval")
 	}
 	for _, key := range []string{"settings.groups[7].slo", "name.x"} {
-		if _, err := Vary([]byte(tiny), []string{key}, [][]string{{"1"}}); err == nil {
+		if _, err := Vary([]byte(tinyScenario), []string{key}, [][]string{{"1"}}); err == nil {
 			t.Errorf("%s was set", key)
 		}
 	}
 }
 
-func TestShrinkKeepsWhatMatters(t *testing.T) {
-	text := []byte(tiny + `troubles:
+func TestShrinkKeepsTheWeakness(t *testing.T) {
+	text := []byte(tinyScenario + `troubles:
   - {at: 2s, for: 5s, kind: hang}
   - {at: 3s, for: 1s, kind: report_late, worker: w1}
   - {at: 4s, for: 1s, kind: slow_connect, worker: w2}
 drains: [{at: 5s, for: 1s, worker: w3}]
 `)
 	_, rep := simulate(t, string(text), 1)
-	_, calm := simulate(t, tiny, 1)
+	_, calm := simulate(t, tinyScenario, 1)
 	if calm.Service-rep.Service < 0.3 {
 		t.Fatalf("service %g, %g without troubles", rep.Service, calm.Service)
 	}
-	small, err := ParseDay("small", Shrink(context.Background(), Found{Text: text, Service: rep.Service, Quiet: calm.Service}, io.Discard), Simulated)
-	if err != nil || len(small.Troubles) != 1 || small.Troubles[0].Kind != "hang" || len(small.Drains) > 0 {
+	small, err := ParseScenario("small", Shrink(context.Background(), Found{Text: text, Service: rep.Service, Quiet: calm.Service}, io.Discard), Simulated)
+	if err != nil || len(small.Faults) != 1 || small.Faults[0].Kind != "hang" || len(small.Drains) > 0 {
 		t.Errorf("%v %+v", err, small)
 	}
 }
 
-// The nearest a rule came to its limit is told, and grows with what presses on it.
+// The report holds how near a rule came to its limit, which grows with the load.
 func TestNearestToTheLimit(t *testing.T) {
-	cold := strings.Replace(tiny, "fleet: {", "fleet: {cold: true, ", 1)
+	cold := strings.Replace(tinyScenario, "fleet: {", "fleet: {cold: true, ", 1)
 	near := func(rate string) float64 {
 		_, rep := simulate(t, strings.Replace(cold, "rate: 30", "rate: "+rate, 1), 1)
 		if f := rep.Findings[0]; f.Nearest <= 0 || f.Nearest > 1 {
@@ -107,11 +107,11 @@
 	}
 }
 
-func TestDrawnDaysAreGoodAndRepeat(t *testing.T) {
+func TestDrawnScenariosAreValidAndRepeat(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
 		a, err := Draw(seed)
 		if err == nil {
-			_, err = ParseDay("drawn", a, Simulated)
+			_, err = ParseScenario("drawn", a, Simulated)
 		}
 		if b, _ := Draw(seed); err != nil || !bytes.Equal(a, b) {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestConvertNamesWhatItLeavesOut(t *testing.T) {
+func TestConvertReportsWhatItLeavesOut(t *testing.T) {
 	const day = `{"site":"s","kind":"k","length":2e7,"drain_grace":5e5,"fall_for":1e6,"fall_multiple":3,"traffic":{"load":0.5},
 "classes":[{"name":"a","share":1,"work":1e5,"aim":1e6,"deadline":3e6,"worth":2,"effect":"keyed","group":"zone","window":2e6}],
 "tiers":[{"kinds":[{"cores":4,"queue":20,"cold_from":0.3,"cold":5e6}]}],"zones":["z"],"servers":[{"speed":1},{"speed":1}],"balancers":[{},{}],
@@ -129,8 +129,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := ParseDay("converted", text, Simulated)
-	if err != nil || len(d.Troubles) != 2 || d.Troubles[0].Worker != "w2" || d.Troubles[1].Kind != "store_slow" || d.Settings.Groups[0].Effect != "deduped" ||
+	d, err := ParseScenario("converted", text, Simulated)
+	if err != nil || len(d.Faults) != 2 || d.Faults[0].Worker != "w2" || d.Faults[1].Kind != "store_slow" || d.Settings.Groups[0].Effect != "deduped" ||
 		d.Dispatchers != 2 || d.Clients.Rate != 40 || d.Settings.Loads.OnMiss != "miss" {
 		t.Errorf("%v %+v", err, d)
 	}
@@ -176,9 +176,9 @@
 	}
 }
 
-func TestPageHoldsEverything(t *testing.T) {
-	_, a := simulate(t, tiny+"troubles: [{at: 2s, for: 1s, kind: hang, worker: w1}]\n", 1)
-	_, b := simulate(t, tiny, 2)
+func TestPageIsComplete(t *testing.T) {
+	_, a := simulate(t, tinyScenario+"troubles: [{at: 2s, for: 1s, kind: hang, worker: w1}]\n", 1)
+	_, b := simulate(t, tinyScenario, 2)
 	var out bytes.Buffer
 	if err := WritePage(&out, []*Report{a, b}); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/lab/faulty_host_test.go
@@ -0,0 +1,242 @@
+package lab
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"mastchute/internal/emulator"
+	"mastchute/internal/eventloop"
+)
+
+const faultyHostScenario = `name: wrong
+seed: %d
+length: 1500ms
+settings:
+  groups:
+    - {name: read, effect: retriable, slo: 500ms, timeout: 1s}
+    - {name: write, effect: deduped, scope: all, window: 200ms, slo: 500ms, timeout: 1s}
+    - {name: once, effect: non-retriable, slo: 500ms, timeout: 1s}
+  rules: {drain_grace: 100ms, cold_share: 0.1, warm_after: 60s, overload_factor: 2, fall: 300ms}
+  loads: {window: 1s, few: 1, share: 0.1}
+fleet: {workers: 3, cores: 4, memory: 1GB, queue: 100}
+models:
+  - {name: fern, group: read, memory: 10MB, lanes: 4, work: 2ms, fetch: 1ms, boot: 1ms}
+  - {name: label, group: write, memory: 10MB, lanes: 4, work: 2ms, fetch: 1ms, boot: 1ms}
+  - {name: number, group: once, memory: 10MB, lanes: 4, work: 2ms, fetch: 1ms, boot: 1ms}
+clients: {rate: 40, retries: 1}
+`
+
+// Faults of a host, each of which breaks one rule.
+const (
+	faultNone             = ""
+	faultForwardsAgain    = "forwards again"
+	faultShedsWhatRan     = "sheds what ran"
+	faultLateDuplicate    = "repeats past the window"
+	faultAnswersLate      = "answers late"
+	faultNeverAnswers     = "never answers"
+	faultAnswersTwice     = "answers twice"
+	faultSendsAfterAnswer = "sends after the answer"
+	faultIgnoresDrain     = "works after a drain"
+	faultOverloadsWorker  = "pushes a cold worker"
+	faultLoadsTooMuch     = "orders too much"
+)
+
+// faultyHost is a dispatcher over sockets that does one thing wrong.
+type faultyHost struct {
+	fault    string
+	workers  []string // addresses
+	requests atomic.Int64
+}
+
+func (h *faultyHost) serve(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go h.serveConn(conn)
+	}
+}
+
+func (h *faultyHost) serveConn(conn net.Conn) {
+	defer conn.Close()
+	for reader := bufio.NewReader(conn); ; {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, request.Body)
+		h.handle(conn, request)
+	}
+}
+
+// send sends an attempt to a worker and returns the status of the response, 0 for none.
+func (h *faultyHost) send(worker, path, id string, attempt int, key string) int {
+	request, _ := http.NewRequest("POST", "http://"+worker+path, strings.NewReader("{}"))
+	request.Header.Set("Mastchute-Dispatcher", "d0")
+	request.Header.Set("Mastchute-Inference", id)
+	request.Header.Set("Mastchute-Forward", fmt.Sprint(attempt))
+	request.Header.Set("Idempotency-Key", key)
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return 0
+	}
+	defer response.Body.Close()
+	io.ReadAll(response.Body)
+	return response.StatusCode
+}
+
+func (h *faultyHost) handle(conn net.Conn, request *http.Request) {
+	n := int(h.requests.Add(1))
+	id := fmt.Sprintf("d0-%d", n)
+	path := request.URL.Path
+	key := request.Header.Get("Idempotency-Key")
+	answer := func(answer string, status int) {
+		fmt.Fprintf(conn, "HTTP/1.1 %d X\r\nMastchute-Answer: %s\r\nMastchute-Inference: %s\r\nContent-Length: 0\r\n\r\n", status, answer, id)
+	}
+	worker := h.workers[n%len(h.workers)]
+	isNonRetriable := strings.Contains(path, "number")
+	isDeduplicated := strings.Contains(path, "label")
+	if h.fault == faultNeverAnswers && n%5 == 0 {
+		return
+	}
+	if h.fault == faultOverloadsWorker && n > 15 { // by then it had a response from the worker
+		worker = h.workers[0]
+		for i := range 30 {
+			go h.send(worker, "/v2/models/fern-1/infer", fmt.Sprint(id, "-", i), 0, fmt.Sprint(key, "/", i))
+		}
+	}
+	if h.fault == faultLoadsTooMuch {
+		h.send(worker, strings.Replace(strings.TrimSuffix(path, "infer"), "/v2/", "/v2/repository/", 1)+"load", "", 0, "")
+	}
+	status := h.send(worker, path, id, 0, key)
+	switch {
+	case h.fault == faultForwardsAgain && isNonRetriable:
+		h.send(h.workers[(n+1)%len(h.workers)], path, id, 1, key)
+	case h.fault == faultShedsWhatRan && isNonRetriable && n%2 == 0:
+		answer("shed", 503)
+		return
+	case h.fault == faultLateDuplicate && isDeduplicated:
+		time.Sleep(400 * time.Millisecond)
+		h.send(worker, path, id, 1, key)
+	case h.fault == faultAnswersLate && n%5 == 0:
+		time.Sleep(1400 * time.Millisecond)
+	case h.fault == faultAnswersTwice && n%3 == 0:
+		answer("returned", 200)
+	case h.fault == faultSendsAfterAnswer && !isNonRetriable && !isDeduplicated:
+		go func() {
+			time.Sleep(200 * time.Millisecond)
+			h.send(worker, path, id, 1, key+"x")
+		}()
+	}
+	if status == 200 {
+		answer("returned", 200)
+	} else {
+		answer("failed", 502)
+	}
+}
+
+// playFaultyHost plays the scenario of a seed against a faulty host, with the scenario's own clients and workers.
+func playFaultyHost(t *testing.T, fault string, seed int) *Evidence {
+	t.Helper()
+	scenario, err := ParseScenario("wrong", []byte(fmt.Sprintf(faultyHostScenario, seed)), Sockets)
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop, err := eventloop.New(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var records bytes.Buffer
+	free := netip.MustParseAddrPort("127.0.0.1:0")
+	workers, err := emulator.NewServer(loop, scenario.Spec(), []netip.AddrPort{free, free, free}, free, &records, fault == faultOverloadsWorker)
+	if err != nil {
+		t.Fatal(err)
+	}
+	loopEnded := make(chan error, 1)
+	go func() { loopEnded <- loop.Run() }()
+	host := &faultyHost{fault: fault}
+	for i := range 3 {
+		host.workers = append(host.workers, workers.Addr(i).String())
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	go host.serve(listener)
+	e := &Evidence{Settings: &scenario.Settings, Zones: map[string]string{}, Cells: map[string]string{}}
+	if fault == faultIgnoresDrain {
+		time.AfterFunc(500*time.Millisecond, func() { // notified, and ignored
+			loop.Post(func() {
+				e.StateChanges = append(e.StateChanges, StateChange{Dispatcher: "d0", Worker: "w1", State: "draining", NotifiedAt: unixNow()})
+			})
+		})
+	}
+	generator := &loadGenerator{scenario: scenario, dispatchers: []*dispatcherClient{{name: "d0", address: listener.Addr().String()}}}
+	generator.run(context.Background(), time.Now())
+	time.Sleep(300 * time.Millisecond) // for what is sent after the last answer
+	loop.Stop()
+	if err := <-loopEnded; err != nil {
+		t.Fatal(err)
+	}
+	e.Tries = generator.clientAttempts()
+	e.Records = decodeRecords(&records)
+	return e
+}
+
+func decodeRecords(in io.Reader) (out []emulator.Record) {
+	for decoder := json.NewDecoder(in); ; {
+		var r emulator.Record
+		if decoder.Decode(&r) != nil {
+			return out
+		}
+		out = append(out, r)
+	}
+}
+
+// Each faulty host is found by its rule, and by that alone; a sound one is not.
+func TestFaultyHostsAreFound(t *testing.T) {
+	for i, c := range []struct {
+		fault    string
+		rule     int    // the rule broken; 0 for none
+		messages string // one of them, separated by |
+	}{
+		{faultNone, 0, ""},
+		{faultForwardsAgain, 2, "may have run"},
+		{faultShedsWhatRan, 2, "shed, though"},
+		{faultLateDuplicate, 2, "past the window"},
+		{faultAnswersLate, 1, "no answer within|after the client's time"},
+		{faultNeverAnswers, 1, "no answer within"},
+		{faultAnswersTwice, 1, "second answer"},
+		{faultSendsAfterAnswer, 1, "after the final answer"},
+		{faultIgnoresDrain, 3, "after it heard that it is draining"},
+		{faultOverloadsWorker, 4, "fell over"},
+		{faultLoadsTooMuch, 5, "loads within"},
+	} {
+		t.Run(c.fault, func(t *testing.T) {
+			t.Parallel()
+			for _, f := range CheckInvariants(playFaultyHost(t, c.fault, i+1)) {
+				violations := strings.Join(f.Breaks, "\n")
+				described := false
+				for _, message := range strings.Split(c.messages, "|") {
+					described = described || strings.Contains(violations, message)
+				}
+				if f.Rule != c.rule && f.Broken > 0 || f.Rule == c.rule && (f.Broken == 0 || !described) {
+					t.Errorf("rule %d: %d breaks: %s", f.Rule, f.Broken, violations)
+				}
+			}
+		})
+	}
+}
--- a/internal/lab/judge_test.go
+++ b/internal/lab/invariants_test.go
@@ -9,13 +9,13 @@
 	"mastchute/internal/emulator"
 )
 
-// evidence writes down a small day: one line an event.
+// parseEvidence parses the evidence of a small scenario: one event a line.
 //
 //	arrive T ID.F WORKER GROUP [DISPATCHER] | turned T ID.F WORKER | ran T ID.F WORKER GROUP KEY | served T ID.F WORKER
 //	start T WORKER | fell T WORKER | order T WORKER DISPATCHER
 //	try SENT ANSWERED ID ANSWER [TIMEOUT]      ANSWERED 0: none came
 //	word T DISPATCHER WORKER STATE | down FROM TO DISPATCHER | extra
-func evidence(t *testing.T, text string) *Evidence {
+func parseEvidence(t *testing.T, text string) *Evidence {
 	t.Helper()
 	s := config.Default()
 	s.Groups = []config.Group{{Name: "read", Effect: "retriable"}, {Name: "write", Effect: "deduped", Scope: "zone", Window: config.S(2)},
@@ -53,18 +53,18 @@
 		case "order":
 			e.Records = append(e.Records, emulator.Record{T: at, Event: "order", Worker: f[2], Dispatcher: f[3]})
 		case "try":
-			x := Try{Sent: at, Request: f[3], Answer: f[4], Timeout: 1, Dispatcher: "d0", Key: "k" + f[3]}
-			fmt.Sscan(f[2], &x.Answered)
-			fmt.Sscan(f[5], &x.Timeout)
-			e.Tries = append(e.Tries, x)
+			a := ClientAttempt{SentAt: at, Request: f[3], Answer: Answer(f[4]), Timeout: 1, Dispatcher: "d0", Key: "k" + f[3]}
+			fmt.Sscan(f[2], &a.AnsweredAt)
+			fmt.Sscan(f[5], &a.Timeout)
+			e.Tries = append(e.Tries, a)
 		case "extra":
-			e.Tries[len(e.Tries)-1].Extra = 7
+			e.Tries[len(e.Tries)-1].UnwantedBytes = 7
 		case "word":
-			e.Words = append(e.Words, Word{f[2], f[3], f[4], at})
+			e.StateChanges = append(e.StateChanges, StateChange{Dispatcher: f[2], Worker: f[3], State: f[4], NotifiedAt: at})
 		case "down":
-			d := Down{Dispatcher: f[3], From: at}
-			fmt.Sscan(f[2], &d.To)
-			e.Downs = append(e.Downs, d)
+			outage := Outage{Dispatcher: f[3], From: at}
+			fmt.Sscan(f[2], &outage.To)
+			e.Outages = append(e.Outages, outage)
 		default:
 			t.Fatalf("%q", line)
 		}
@@ -72,12 +72,12 @@
 	return e
 }
 
-// Each wrong host is caught and named; each right one beside it is not.
-func TestTheJudgeJudged(t *testing.T) {
+// Each violation is found and described; the sound variant beside it is not reported.
+func TestCheckerFindsEachViolation(t *testing.T) {
 	for _, c := range []struct {
-		name, day string
-		rule      int // the rule broken; 0 for none
-		says      string
+		name, events string
+		rule         int // the rule broken; 0 for none
+		message      string
 	}{
 		{"answered in time", "try 1 1.5 i returned", 0, ""},
 		{"never answered", "try 1 0 i", 1, "no answer within"},
@@ -109,11 +109,11 @@
 		{"orders beyond it", "try 1 1.1 i returned\norder 2 a d0\norder 2.1 b d0\norder 2.2 c d0", 5, "ordered 3 loads within 5s, where 1 inferences allow 2.5"},
 		{"orders that have left the window", "order 2 a d0\norder 2.1 b d0\norder 8 c d0", 0, ""},
 	} {
-		for _, f := range Judge(evidence(t, c.day)) {
+		for _, f := range CheckInvariants(parseEvidence(t, c.events)) {
 			switch {
 			case f.Rule != c.rule && f.Broken > 0:
 				t.Errorf("%s: rule %d is called broken: %q", c.name, f.Rule, f.Breaks)
-			case f.Rule == c.rule && (f.Broken == 0 || !strings.Contains(strings.Join(f.Breaks, "\n"), c.says)):
+			case f.Rule == c.rule && (f.Broken == 0 || !strings.Contains(strings.Join(f.Breaks, "\n"), c.message)):
 				t.Errorf("%s: rule %d: %d breaks %q", c.name, f.Rule, f.Broken, f.Breaks)
 			case f.Rule == c.rule && f.Verdict() != "BROKEN":
 				t.Errorf("%s: verdict %s", c.name, f.Verdict())
@@ -122,14 +122,14 @@
 	}
 }
 
-func TestARuleWithoutATestIsNotShown(t *testing.T) {
-	for _, f := range Judge(evidence(t, "")) {
+func TestRuleWithoutTestIsNotShown(t *testing.T) {
+	for _, f := range CheckInvariants(parseEvidence(t, "")) {
 		if f.Verdict() != "not shown" {
 			t.Errorf("rule %d: %s", f.Rule, f.Verdict())
 		}
 	}
 	tests := map[int]int{}
-	for _, f := range Judge(evidence(t, "try 1 1.5 i returned\narrive 1 i.0 a write\narrive 1.2 i.1 b write\nword 2 d0 b gone\nstart 3 c\narrive 3.5 j.0 c read\norder 4 a d0")) {
+	for _, f := range CheckInvariants(parseEvidence(t, "try 1 1.5 i returned\narrive 1 i.0 a write\narrive 1.2 i.1 b write\nword 2 d0 b gone\nstart 3 c\narrive 3.5 j.0 c read\norder 4 a d0")) {
 		if tests[f.Rule] = f.Tests; f.Verdict() != "kept" {
 			t.Errorf("rule %d: %s %q", f.Rule, f.Verdict(), f.Breaks)
 		}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"encoding/csv"
-	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -11,7 +11,6 @@
 	"net/http"
 	"net/netip"
 	"net/url"
-	"sort"
 	"strconv"
 	"strings"
 	"sync"
@@ -20,52 +19,52 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LoadOptions say what load is put on a gateway. Arrivals are open loop: they come at their times whatever becomes of
-// those before, and latency counts from the time one was meant to be sent, so that a gateway which stalls cannot hide
-// what it kept waiting.
+// LoadOptions describe the load that is put on a gateway. Arrivals are open loop: they come at their times whatever becomes
+// of those before, and latency counts from the intended time, so that a gateway that stalls cannot hide what it delayed.
 type LoadOptions struct {
 	URL       string
-	Models    []string // by popularity, the first asked for most
-	Zipf      float64  // how unequal their popularity is; 0 for equal
-	Hot       float64  // share of all that asks for the first model besides
-	Shift     float64  // s after which popularity moves on by one model; 0 for never
-	Unseen    float64  // share that asks for a model not asked for before: the first model's name with a number
-	Rate      float64  // a second
+	Models    []string // by popularity, the most popular first
+	Zipf      float64  // exponent of their popularity; 0 for equal popularity
+	Hot       float64  // fraction of requests that are for the first model instead
+	Shift     float64  // seconds after which popularity moves on by one model; 0 for never
+	Unseen    float64  // fraction for a model that was not requested before: the first model's name with a number
+	Rate      float64  // requests a second
 	Seconds   float64
-	Burst     float64 // factor of the rate within bursts; 0 or 1 for none
-	BurstOf   float64 // s, one in every ten times as long
+	Burst     float64 // factor of the rate in bursts; 0 or 1 for none
+	BurstOf   float64 // seconds of a burst, one in every ten times as long
 	Tenants   []string
-	Timeout   float64 // s told and waited
-	Impatient float64 // share that leaves after a tenth of it, and asks again
+	Timeout   float64 // seconds that the client states and waits
+	Impatient float64 // fraction that leaves after a tenth of the timeout, and retries
 	Retries   int     // after a shed answer
 	Seed      uint64
-	Trace     []Arrival // played in place of Rate, Models and Zipf
-	Body      string
-	Most      int       // in flight at a time; beyond it arrivals are counted as not sent
-	Say       io.Writer // a progress line a second; may be nil
+	Trace     []Arrival // replayed instead of a drawn load; nil for none
+	Body      string    // empty for a default
+	Most      int       // concurrent requests; arrivals beyond it are counted as not sent; 0 for a default
+	Say       io.Writer // a progress line each second; may be nil
 }
 
-// Arrival is one line of a trace: when, and for which model.
-type Arrival struct {
-	At     float64 `json:"at"` // s from its begin
-	Model  string  `json:"model"`
-	Tenant string  `json:"tenant,omitempty"`
-}
-
-// LoadResult is what came of a load. Latencies are seconds from the intended time.
+// LoadResult is what came of a load. Latencies are in seconds from the intended time.
 type LoadResult struct {
 	Asked    int            `json:"asked"`
-	Answers  map[string]int `json:"answers"`  // of last tries: returned, shed, failed, left, refused, error
+	Answers  map[string]int `json:"answers"`  // of last attempts: the dispatcher's answers, left, refused, error
 	NotSent  int            `json:"not_sent"` // the generator itself had too many in flight
 	Tries    int            `json:"tries"`
 	Seconds  float64        `json:"seconds"`
 	Returned Latency        `json:"returned"`
 	All      Latency        `json:"all"`
-	Late     float64        `json:"worst_send_s"` // the latest that a try went out after its intended time
-	hist     *hdrhistogram.Histogram
+	Late     float64        `json:"worst_send_s"` // worst delay of a first attempt after its intended time
+
+	returned *hdrhistogram.Histogram // microseconds
 }
 
-// Latency are percentiles, in seconds.
+// Results of attempts that are no answers of a dispatcher.
+const (
+	resultLeft     = "left"    // the client left before an answer
+	resultRejected = "refused" // rejected before the request was taken
+	resultError    = "error"
+)
+
+// Latency holds percentiles in seconds.
 type Latency struct {
 	Mean float64 `json:"mean_s"`
 	P50  float64 `json:"p50_s"`
@@ -75,221 +74,223 @@
 	Max  float64 `json:"max_s"`
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
-	at := func(p float64) float64 { return float64(h.ValueAtPercentile(p)) / 1e6 }
-	return Latency{h.Mean() / 1e6, at(50), at(90), at(99), at(99.9), float64(h.Max()) / 1e6}
+func newLatency(h *hdrhistogram.Histogram) Latency {
+	return Latency{Mean: h.Mean() / microsPerSecond, P50: secondsAt(h, 50), P90: secondsAt(h, 90), P99: secondsAt(h, 99),
+		P999: secondsAt(h, 99.9), Max: float64(h.Max()) / microsPerSecond}
 }
 
-// ReadTrace reads a trace: a JSON line for each arrival, in order of time.
-func ReadTrace(in io.Reader) (out []Arrival, err error) {
-	d := json.NewDecoder(in)
-	d.DisallowUnknownFields()
-	for {
-		var a Arrival
-		if err := d.Decode(&a); err == io.EOF {
-			return out, nil
-		} else if err != nil {
-			return nil, fmt.Errorf("line %d: %w", len(out)+1, err)
-		}
-		if !(a.At >= 0) || a.Model == "" || len(out) > 0 && a.At < out[len(out)-1].At {
-			return nil, fmt.Errorf("line %d: write at, not before the line above, and model", len(out)+1)
-		}
-		out = append(out, a)
-	}
-}
+const (
+	defaultMaxInFlight = 4000
+	impatientStream    = 8    // of the random source
+	earlyLeaveFactor   = 0.1  // of the timeout after which impatient clients leave
+	loadRetryDelay     = 0.02 // s beyond the Retry-After
+	maxRecordedLatency = maxLatency - 1_000_000
+)
 
-// plan draws the arrivals of a load, one after the other; pure.
-func (o *LoadOptions) plan() func() (Arrival, bool) {
-	if o.Trace != nil {
-		i := 0
-		return func() (Arrival, bool) {
-			if i++; i > len(o.Trace) {
-				return Arrival{}, false
-			}
-			return o.Trace[i-1], true
-		}
-	}
-	rnd := rand.New(rand.NewPCG(o.Seed, 7))
-	up := make([]float64, len(o.Models))
-	sum := 0.0
-	for i := range up {
-		sum += math.Pow(float64(i+1), -o.Zipf)
-		up[i] = sum
-	}
-	at, unseen := 0.0, 0
-	return func() (Arrival, bool) {
-		rate := o.Rate
-		if o.Burst > 1 && o.BurstOf > 0 && math.Mod(at, 10*o.BurstOf) < o.BurstOf {
-			rate *= o.Burst
-		}
-		if at += rnd.ExpFloat64() / rate; at >= o.Seconds {
-			return Arrival{}, false
-		}
-		a := Arrival{At: at}
-		i := min(sort.SearchFloat64s(up, rnd.Float64()*sum), len(up)-1)
-		if o.Shift > 0 {
-			i = (i + int(at/o.Shift)) % len(up)
-		}
-		if a.Model = o.Models[i]; rnd.Float64() < o.Hot {
-			a.Model = o.Models[0]
-		} else if rnd.Float64() < o.Unseen {
-			unseen++
-			a.Model = fmt.Sprintf("%s-unseen-%d", o.Models[0], unseen)
-		}
-		if len(o.Tenants) > 0 {
-			a.Tenant = o.Tenants[rnd.IntN(len(o.Tenants))]
-		}
-		return a, true
-	}
-}
+// ErrNoLoad is returned by Load for options without models, rate or duration.
+var ErrNoLoad = errors.New("write at least one model, and a rate and span above 0")
 
-// Load puts a load on a gateway on loopback. It ends early when ctx does; what was seen by then is returned.
-func Load(ctx context.Context, o LoadOptions) (*LoadResult, error) {
+// check checks the options and fills in defaults.
+func (o *LoadOptions) check() error {
 	u, err := url.Parse(o.URL)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	at, err := netip.ParseAddrPort(u.Host)
-	if err != nil || !at.Addr().IsLoopback() || u.Scheme != "http" {
-		return nil, fmt.Errorf("%s: write http://ADDRESS:PORT with a loopback address", o.URL)
+	address, err := netip.ParseAddrPort(u.Host)
+	if err != nil || !address.Addr().IsLoopback() || u.Scheme != "http" {
+		return fmt.Errorf("%s: write http://ADDRESS:PORT with a loopback address", o.URL)
 	}
 	if o.Trace == nil && (len(o.Models) == 0 || !(o.Rate > 0) || !(o.Seconds > 0)) {
-		return nil, fmt.Errorf("write at least one model, and a rate and span above 0")
+		return ErrNoLoad
 	}
 	if o.Most <= 0 {
-		o.Most = 4000
+		o.Most = defaultMaxInFlight
+	}
+	if o.Body == "" {
+		o.Body = inferenceBody
+	}
+	return nil
+}
+
+// Load puts a load on a gateway on loopback. It ends early when ctx does; what was measured by then is returned with the
+// context's error.
+func Load(ctx context.Context, o LoadOptions) (*LoadResult, error) {
+	if err := o.check(); err != nil {
+		return nil, err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: o.Most, MaxConnsPerHost: 0, DisableCompression: true}}
-	defer client.CloseIdleConnections()
-	res := &LoadResult{Answers: map[string]int{}, hist: newHistograms(1)[0]}
-	all := newHistograms(1)[0]
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	open, begin := 0, time.Now()
-	due := func(s float64) time.Time { return begin.Add(time.Duration(s * 1e9)) }
+	r := &loadRun{options: &o, begin: time.Now(), all: newLatencyHistogram(),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: o.Most, DisableCompression: true}},
+		result: &LoadResult{Answers: map[string]int{}, returned: newLatencyHistogram()}}
+	defer r.client.CloseIdleConnections()
 	done := make(chan struct{})
 	if o.Say != nil {
-		go func() {
-			t := time.NewTicker(time.Second)
-			defer t.Stop()
-			for {
-				select {
-				case <-done:
-					return
-				case <-t.C:
-					mu.Lock()
-					fmt.Fprintf(o.Say, "%5.0f s  asked %d, in hand %d, returned %d, shed %d, p99 %.1f ms\n", time.Since(begin).Seconds(), res.Asked, open,
-						res.Answers["returned"], res.Answers["shed"], float64(res.hist.ValueAtPercentile(99))/1e3)
-					mu.Unlock()
-				}
-			}
-		}()
+		go r.reportProgress(done)
 	}
-	rnd := rand.New(rand.NewPCG(o.Seed, 8))
-	for next := o.plan(); ctx.Err() == nil; {
+	r.play(ctx)
+	close(done)
+	r.result.Seconds = time.Since(r.begin).Seconds()
+	r.result.Returned = newLatency(r.result.returned)
+	r.result.All = newLatency(r.all)
+	return r.result, ctx.Err()
+}
+
+// loadRun is a load in progress.
+type loadRun struct {
+	options  *LoadOptions
+	client   *http.Client
+	begin    time.Time
+	requests sync.WaitGroup
+
+	mu       sync.Mutex // guards what is below, until all requests have ended
+	inFlight int
+	result   *LoadResult
+	all      *hdrhistogram.Histogram // latencies of all answers, in microseconds
+}
+
+// play begins the requests at their times and waits for their ends.
+func (r *loadRun) play(ctx context.Context) {
+	defer r.requests.Wait()
+	rnd := rand.New(rand.NewPCG(r.options.Seed, impatientStream))
+	next := r.options.arrivals()
+	for {
 		a, ok := next()
 		if !ok {
-			break
+			return
 		}
 		select {
-		case <-time.After(time.Until(due(a.At))):
+		case <-time.After(time.Until(r.intendedTime(a))):
 		case <-ctx.Done():
-			continue
+			return
 		}
-		leaves := rnd.Float64() < o.Impatient
-		mu.Lock()
-		res.Asked++
-		full := open >= o.Most
-		if full {
-			res.NotSent++
-		} else {
-			open++
-			res.Late = math.Max(res.Late, time.Since(due(a.At)).Seconds())
-		}
-		mu.Unlock()
-		if full {
+		leavesEarly := rnd.Float64() < r.options.Impatient
+		if !r.admit(a) {
 			continue
 		}
-		wait.Add(1)
+		r.requests.Add(1)
 		go func() {
-			defer wait.Done()
-			answer, tries := o.call(ctx, client, a, leaves)
-			took := min(time.Since(due(a.At)).Microseconds(), 3_599_000_000)
-			mu.Lock()
-			defer mu.Unlock()
-			open--
-			res.Answers[answer]++
-			res.Tries += tries
-			all.RecordValue(took)
-			if answer == "returned" {
-				res.hist.RecordValue(took)
-			}
+			defer r.requests.Done()
+			answer, attempts := r.request(ctx, a, leavesEarly)
+			r.record(a, answer, attempts)
 		}()
 	}
-	wait.Wait()
-	close(done)
-	res.Seconds = time.Since(begin).Seconds()
-	res.Returned, res.All = latency(res.hist), latency(all)
-	return res, ctx.Err()
 }
 
-// call asks until it has an answer that is not to be tried again.
-func (o *LoadOptions) call(ctx context.Context, client *http.Client, a Arrival, leaves bool) (answer string, tries int) {
+func (r *loadRun) intendedTime(a Arrival) time.Time { return r.begin.Add(seconds(a.At)) }
+
+// admit counts an arrival. It returns false if too many requests are in flight.
+func (r *loadRun) admit(a Arrival) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Asked++
+	if r.inFlight >= r.options.Most {
+		r.result.NotSent++
+		return false
+	}
+	r.inFlight++
+	r.result.Late = math.Max(r.result.Late, time.Since(r.intendedTime(a)).Seconds())
+	return true
+}
+
+// record counts a request that ended.
+func (r *loadRun) record(a Arrival, answer string, attempts int) {
+	latency := min(time.Since(r.intendedTime(a)).Microseconds(), maxRecordedLatency)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.inFlight--
+	r.result.Answers[answer]++
+	r.result.Tries += attempts
+	r.all.RecordValue(latency)
+	if answer == string(AnswerReturned) {
+		r.result.returned.RecordValue(latency)
+	}
+}
+
+// reportProgress writes a line each second until done.
+func (r *loadRun) reportProgress(done <-chan struct{}) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
-		tries++
-		span := o.Timeout
-		if leaves && tries == 1 {
-			span /= 10
-		}
-		c, cancel := context.WithTimeout(ctx, time.Duration(span*1e9))
-		body := o.Body
-		if body == "" {
-			body = `{"inputs":[]}`
-		}
-		req, err := http.NewRequestWithContext(c, "POST", o.URL+"/v2/models/"+url.PathEscape(a.Model)+"/infer", strings.NewReader(body))
-		if err != nil {
-			cancel()
-			return "error", tries
-		}
-		req.Header.Set("Content-Type", "application/json")
-		req.Header.Set("Mastchute-Timeout", strconv.FormatFloat(o.Timeout, 'f', 3, 64))
-		if a.Tenant != "" {
-			req.Header.Set("Mastchute-Tenant", a.Tenant)
+		select {
+		case <-done:
+			return
+		case <-ticker.C:
 		}
-		if tries > 1 {
-			req.Header.Set("Mastchute-Repeat", "true")
+		r.mu.Lock()
+		fmt.Fprintf(r.options.Say, "%5.0f s  asked %d, in hand %d, returned %d, shed %d, p99 %.1f ms\n", time.Since(r.begin).Seconds(), r.result.Asked, r.inFlight,
+			r.result.Answers[string(AnswerReturned)], r.result.Answers[string(AnswerShed)], 1e3*secondsAt(r.result.returned, 99))
+		r.mu.Unlock()
+	}
+}
+
+// request makes attempts until one has an answer that is not to be retried.
+func (r *loadRun) request(ctx context.Context, a Arrival, leavesEarly bool) (answer string, attempts int) {
+	for {
+		attempts++
+		timeout := r.options.Timeout
+		isFirst := attempts == 1
+		if leavesEarly && isFirst {
+			timeout *= earlyLeaveFactor
 		}
-		resp, err := client.Do(req)
-		again := 0.0
-		switch {
-		case err != nil && c.Err() != nil && ctx.Err() == nil:
-			answer = "left"
-		case err != nil:
-			answer = "error"
-		default:
-			_, err = io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
-			if answer = resp.Header.Get("Mastchute-Answer"); err != nil {
-				answer = "error"
-			} else if answer == "" {
-				answer = "refused"
-			}
-			again, _ = strconv.ParseFloat(resp.Header.Get("Mastchute-Retry-After"), 64)
+		answer, retryAfter := r.attempt(ctx, a, timeout, !isFirst)
+		shedRetry := answer == string(AnswerShed) && attempts <= r.options.Retries
+		leftRetry := answer == resultLeft && leavesEarly && isFirst
+		if ctx.Err() != nil || !shedRetry && !leftRetry {
+			return answer, attempts
 		}
-		cancel()
-		if ctx.Err() != nil || !(answer == "shed" && tries <= o.Retries || answer == "left" && leaves && tries == 1) {
-			return answer, tries
+		time.Sleep(seconds(retryAfter + loadRetryDelay))
+	}
+}
+
+// attempt makes one attempt and waits for its response for some seconds.
+func (r *loadRun) attempt(ctx context.Context, a Arrival, timeout float64, isRetry bool) (answer string, retryAfter float64) {
+	attemptCtx, cancel := context.WithTimeout(ctx, seconds(timeout))
+	defer cancel()
+	request, err := r.newRequest(attemptCtx, a, isRetry)
+	if err != nil {
+		return resultError, 0
+	}
+	response, err := r.client.Do(request)
+	if err != nil {
+		if attemptCtx.Err() != nil && ctx.Err() == nil {
+			return resultLeft, 0
 		}
-		time.Sleep(time.Duration((again + 0.02) * 1e9))
+		return resultError, 0
+	}
+	defer response.Body.Close()
+	retryAfter, _ = strconv.ParseFloat(response.Header.Get(retryAfterHeader), 64)
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		return resultError, retryAfter
+	}
+	answer = response.Header.Get(answerHeader)
+	if answer == "" {
+		return resultRejected, retryAfter
+	}
+	return answer, retryAfter
+}
+
+func (r *loadRun) newRequest(ctx context.Context, a Arrival, isRetry bool) (*http.Request, error) {
+	target := r.options.URL + "/v2/models/" + url.PathEscape(a.Model) + "/infer"
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, strings.NewReader(r.options.Body))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set(timeoutHeader, strconv.FormatFloat(r.options.Timeout, 'f', 3, 64))
+	if a.Tenant != "" {
+		request.Header.Set(tenantHeader, a.Tenant)
+	}
+	if isRetry {
+		request.Header.Set(retryHeader, "true")
 	}
+	return request, nil
 }
 
-// WriteCSV writes the distribution of returned answers: seconds, percentile, count so far.
+// WriteCSV writes the distribution of the latencies of returned answers: seconds, percentile, count so far.
 func (r *LoadResult) WriteCSV(out io.Writer) error {
 	w := csv.NewWriter(out)
 	w.Write([]string{"seconds", "percentile", "count"})
-	for _, b := range r.hist.CumulativeDistribution() {
-		w.Write([]string{strconv.FormatFloat(float64(b.ValueAt)/1e6, 'f', 6, 64), strconv.FormatFloat(b.Quantile, 'f', 4, 64), strconv.FormatInt(b.Count, 10)})
+	for _, b := range r.returned.CumulativeDistribution() {
+		w.Write([]string{strconv.FormatFloat(float64(b.ValueAt)/microsPerSecond, 'f', 6, 64), strconv.FormatFloat(b.Quantile, 'f', 4, 64), strconv.FormatInt(b.Count, 10)})
 	}
 	w.Flush()
 	return w.Error()
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -13,222 +13,247 @@
 	"mastchute/internal/emulator"
 )
 
-// Report is what a day came to. Service and latency are by logical call: from a client's first try to the answer
-// that was returned to it.
+// Report sums up what came of a scenario. Service and latency are by logical call: from a client's first attempt to the
+// response that was returned to it.
 type Report struct {
-	Day      string             `json:"day"`
-	Clock    string             `json:"clock"` // sockets or simulated
-	Seed     uint64             `json:"seed"`
-	Partial  bool               `json:"partial,omitempty"` // it was interrupted
-	Findings []Finding          `json:"rules"`
-	Groups   []GroupReport      `json:"groups"`
-	Service  float64            `json:"service"`          // value returned within the SLO time over value asked for
-	Warm     float64            `json:"warm"`             // share of served attempts that found a warm copy
-	WarmLate float64            `json:"warm_second_half"` // the same in the second half of the day
-	Served   int                `json:"served"`
-	Attempts int                `json:"forwards"`
-	Orders   int                `json:"orders"`
-	Loads    int                `json:"loads"`
-	Turned   int                `json:"turned"`
-	Repeats  int                `json:"repeats"` // dropped by workers
-	Guards   map[string]float64 `json:"guards"`
-	Exits    []int              `json:"exits"`
-	Slices   []Slice            `json:"timeline"`
-	Marks    []Mark             `json:"troubles"`
-	Held     []Held             `json:"workers"`
+	Scenario       string             `json:"day"`
+	Clock          string             `json:"clock"` // sockets or simulated
+	Seed           uint64             `json:"seed"`
+	Partial        bool               `json:"partial,omitempty"` // the run was interrupted
+	Findings       []Finding          `json:"rules"`
+	Groups         []GroupReport      `json:"groups"`
+	Service        float64            `json:"service"`          // value returned within the latency objective over all value
+	Warm           float64            `json:"warm"`             // fraction of served attempts that found a warm copy
+	WarmSecondHalf float64            `json:"warm_second_half"` // the same in the second half of the scenario
+	Served         int                `json:"served"`
+	Attempts       int                `json:"forwards"`
+	LoadRequests   int                `json:"orders"`
+	Loads          int                `json:"loads"`
+	Rejected       int                `json:"turned"`
+	Duplicates     int                `json:"repeats"` // dropped by workers
+	Guards         map[string]float64 `json:"guards"`  // counts by guard; each is a fault of the decisions or the host
+	Exits          []int              `json:"exits"`   // exit codes of the dispatchers
+	Timeline       []TimelineBucket   `json:"timeline"`
+	FaultSpans     []FaultSpan        `json:"troubles"`
+	Workers        []WorkerReport     `json:"workers"`
 }
 
-// GroupReport is one model group's.
+// GroupReport sums up one model group: Asked, InSLO and Late count calls, the others attempts.
 type GroupReport struct {
-	Name    string  `json:"name"`
-	Asked   int     `json:"asked"`
-	InSLO   int     `json:"in_slo"`
-	Late    int     `json:"late"`
-	Tries   int     `json:"tries"`
-	Shed    int     `json:"shed"`
-	Failed  int     `json:"failed"`
-	Left    int     `json:"left"`
-	Refused int     `json:"refused"`
-	P50     float64 `json:"p50_s"`
-	P99     float64 `json:"p99_s"`
+	Name        string  `json:"name"`
+	Asked       int     `json:"asked"`
+	InSLO       int     `json:"in_slo"`
+	Late        int     `json:"late"`
+	Attempts    int     `json:"tries"`
+	Shed        int     `json:"shed"`
+	Failed      int     `json:"failed"`
+	ClientLeft  int     `json:"left"`
+	NotAccepted int     `json:"refused"`
+	P50         float64 `json:"p50_s"`
+	P99         float64 `json:"p99_s"`
 }
 
-// newHistograms makes histograms of times in us, up to an hour.
-func newHistograms(n int) (out []*hdrhistogram.Histogram) {
-	for range n {
-		out = append(out, hdrhistogram.New(1, 3_600_000_000, 3))
-	}
-	return out
+const (
+	microsPerSecond = 1e6
+	maxLatency      = 3_600_000_000 // us that histograms of latencies hold
+)
+
+// newLatencyHistogram returns a histogram of latencies in microseconds.
+func newLatencyHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, 3) }
+
+// secondsAt returns a percentile of a histogram of latencies in seconds.
+func secondsAt(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtPercentile(percentile)) / microsPerSecond
 }
 
-func (rep *Report) fill(day *Day, e *Evidence) {
-	rep.Day, rep.Findings, rep.Slices = day.Name, Judge(e), timeline(day, e)
-	rep.Marks, rep.Held = day.marks(), held(day, e)
-	rep.fillGroups(day, e)
-	half := math.Inf(1)
+// fill computes the report from what was recorded.
+func (r *Report) fill(s *Scenario, e *Evidence) {
+	r.Scenario = s.Name
+	r.Findings = CheckInvariants(e)
+	r.Timeline = newTimeline(s, e)
+	r.FaultSpans = s.faultSpans()
+	r.Workers = workerReports(s, e)
+	r.fillGroups(s, e)
+	secondHalf := math.Inf(1)
 	if len(e.Tries) > 0 {
-		half = e.Tries[0].Sent + day.Seconds.Seconds/2
+		secondHalf = e.Tries[0].SentAt + s.Length.Seconds/2
 	}
-	rep.fillRecords(e, half)
+	r.fillWorkerCounts(e, secondHalf)
 }
 
-// callOf is a call over all its tries.
-type callOf struct {
-	group    string
-	first    float64 // when its first try was sent
-	returned float64 // when it was answered well, 0 if it was not
+// callResult is what came of a logical call over all its attempts.
+type callResult struct {
+	group      string
+	sentAt     float64 // of its first attempt
+	returnedAt float64 // 0 if no response was returned
 }
 
-// fillGroups counts calls and their answers by model group, and weighs them by value.
-func (rep *Report) fillGroups(day *Day, e *Evidence) {
-	by, hist := map[string]*GroupReport{}, map[string]*hdrhistogram.Histogram{}
-	slo := map[string]float64{}
-	for i, h := range newHistograms(len(day.Settings.Groups)) {
-		g := day.Settings.Groups[i]
-		by[g.Name], hist[g.Name], slo[g.Name] = &GroupReport{Name: g.Name}, h, g.SLO.Seconds
+// fillGroups counts calls and attempts by model group, and computes the service from the groups' values.
+func (r *Report) fillGroups(s *Scenario, e *Evidence) {
+	reports := map[string]*GroupReport{}
+	latencies := map[string]*hdrhistogram.Histogram{}
+	objectives := map[string]float64{}
+	for _, g := range s.Settings.Groups {
+		reports[g.Name] = &GroupReport{Name: g.Name}
+		latencies[g.Name] = newLatencyHistogram()
+		objectives[g.Name] = g.SLO.Seconds
 	}
-	for _, c := range countTries(e, by) {
-		if c.returned == 0 {
+	for _, call := range countAttempts(e, reports) {
+		if call.returnedAt == 0 {
 			continue
 		}
-		took := c.returned - c.first
-		hist[c.group].RecordValue(int64(took * 1e6))
-		if took <= slo[c.group] {
-			by[c.group].InSLO++
+		took := call.returnedAt - call.sentAt
+		latencies[call.group].RecordValue(int64(took * microsPerSecond))
+		if took <= objectives[call.group] {
+			reports[call.group].InSLO++
 		} else {
-			by[c.group].Late++
+			reports[call.group].Late++
 		}
 	}
-	got, asked := 0.0, 0.0
-	for _, g := range day.Settings.Groups {
-		r, v := by[g.Name], g.Value
-		if v == 0 {
-			v = 1
-		}
-		r.P50 = float64(hist[g.Name].ValueAtPercentile(50)) / 1e6
-		r.P99 = float64(hist[g.Name].ValueAtPercentile(99)) / 1e6
-		got += v * float64(r.InSLO)
-		asked += v * float64(r.Asked)
-		rep.Groups = append(rep.Groups, *r)
+	returned, asked := 0.0, 0.0
+	for _, g := range s.Settings.Groups {
+		report := reports[g.Name]
+		report.P50 = secondsAt(latencies[g.Name], 50)
+		report.P99 = secondsAt(latencies[g.Name], 99)
+		returned += valueOf(g.Value) * float64(report.InSLO)
+		asked += valueOf(g.Value) * float64(report.Asked)
+		r.Groups = append(r.Groups, *report)
 	}
 	if asked > 0 {
-		rep.Service = got / asked
+		r.Service = returned / asked
+	}
+}
+
+// valueOf is the value of a call of a group; groups without one count as 1.
+func valueOf(value float64) float64 {
+	if value == 0 {
+		return 1
 	}
+	return value
 }
 
-// countTries counts tries by model group, and returns the calls they belong to.
-func countTries(e *Evidence, by map[string]*GroupReport) map[string]*callOf {
-	calls := map[string]*callOf{}
-	for _, t := range e.Tries {
-		g, c := by[t.Group], calls[t.Key]
-		if c == nil {
-			c = &callOf{group: t.Group, first: t.Sent}
-			calls[t.Key] = c
-			g.Asked++
+// countAttempts counts attempts by model group, and returns the calls they belong to.
+func countAttempts(e *Evidence, reports map[string]*GroupReport) map[string]*callResult {
+	calls := map[string]*callResult{}
+	for _, a := range e.Tries {
+		report := reports[a.Group]
+		call := calls[a.Key]
+		if call == nil {
+			call = &callResult{group: a.Group, sentAt: a.SentAt}
+			calls[a.Key] = call
+			report.Asked++
 		}
-		c.first = min(c.first, t.Sent)
-		g.Tries++
+		call.sentAt = min(call.sentAt, a.SentAt)
+		report.Attempts++
 		switch {
-		case t.Answer == "returned":
-			c.returned = t.Answered
-		case t.Answer == "shed":
-			g.Shed++
-		case t.Answer == "failed":
-			g.Failed++
-		case t.Left:
-			g.Left++
+		case a.Answer == AnswerReturned:
+			call.returnedAt = a.AnsweredAt
+		case a.Answer == AnswerShed:
+			report.Shed++
+		case a.Answer == AnswerFailed:
+			report.Failed++
+		case a.ClientLeft:
+			report.ClientLeft++
 		default:
-			g.Refused++
+			report.NotAccepted++
 		}
 	}
 	return calls
 }
 
-// fillRecords counts what the workers did; what was found warm is also counted from a time on.
-func (rep *Report) fillRecords(e *Evidence, half float64) {
-	warm, servedLate, warmLate := 0, 0, 0
-	for _, r := range e.Records {
-		switch r.Event {
-		case "arrive":
-			rep.Attempts++
-		case "served":
-			if rep.Served++; r.ModelState == emulator.ModelWarm {
+// fillWorkerCounts counts what the workers did.
+func (r *Report) fillWorkerCounts(e *Evidence, secondHalf float64) {
+	warm, servedSecondHalf, warmSecondHalf := 0, 0, 0
+	for _, record := range e.Records {
+		switch record.Event {
+		case emulator.EventArrived:
+			r.Attempts++
+		case emulator.EventServed:
+			r.Served++
+			isWarm := record.ModelState == emulator.ModelWarm
+			if isWarm {
 				warm++
 			}
-			if r.T > half {
-				if servedLate++; r.ModelState == emulator.ModelWarm {
-					warmLate++
+			if record.T > secondHalf {
+				servedSecondHalf++
+				if isWarm {
+					warmSecondHalf++
 				}
 			}
-		case "order":
-			rep.Orders++
-		case "load":
-			rep.Loads++
-		case "turned":
-			rep.Turned++
-		case "repeat":
-			rep.Repeats++
+		case emulator.EventLoadRequested:
+			r.LoadRequests++
+		case emulator.EventLoadStarted:
+			r.Loads++
+		case emulator.EventRejected:
+			r.Rejected++
+		case emulator.EventDuplicate:
+			r.Duplicates++
 		}
 	}
-	if rep.Served > 0 {
-		rep.Warm = float64(warm) / float64(rep.Served)
-		rep.WarmLate = float64(warmLate) / math.Max(1, float64(servedLate))
+	if r.Served > 0 {
+		r.Warm = float64(warm) / float64(r.Served)
+		r.WarmSecondHalf = float64(warmSecondHalf) / math.Max(1, float64(servedSecondHalf))
 	}
 }
 
-// Broken tells whether a rule was broken.
-func (rep *Report) Broken() bool {
-	for _, f := range rep.Findings {
-		if f.Broken > 0 {
-			return true
-		}
-	}
-	return false
-}
+// Broken reports whether a rule was broken.
+func (r *Report) Broken() bool { return len(brokenRules(r)) > 0 }
 
-// Write prints the report for people: a line a rule, then service by model group.
-func (rep *Report) Write(out io.Writer) {
-	if rep.Partial {
+// Write prints the report for people: a line for each rule, then the model groups, then the sums.
+func (r *Report) Write(out io.Writer) {
+	if r.Partial {
 		fmt.Fprintln(out, "interrupted: what follows is partial")
 	}
-	for _, f := range rep.Findings {
-		near := ""
-		if f.Nearest > 0 {
-			near = fmt.Sprintf("; %.0f%% of the limit at the nearest", 100*f.Nearest)
-		}
-		fmt.Fprintf(out, "rule %d  %-9s  %5d tests  %s%s\n", f.Rule, f.Verdict(), f.Tests, f.Name, near)
-		for _, b := range f.Breaks {
-			fmt.Fprintf(out, "        %s\n", b)
-		}
-		if f.Broken > len(f.Breaks) {
-			fmt.Fprintf(out, "        and %d more\n", f.Broken-len(f.Breaks))
-		}
+	for _, f := range r.Findings {
+		f.write(out)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "group\tasked\tin SLO\tlate\tshed\tfailed\tleft\trefused\tp50 ms\tp99 ms\t")
-	for _, g := range rep.Groups {
+	for _, g := range r.Groups {
 		fmt.Fprintf(w, "%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", g.Name, g.Asked, float64(g.InSLO)/max(1, float64(g.Asked)),
-			g.Late, g.Shed, g.Failed, g.Left, g.Refused, g.P50*1e3, g.P99*1e3)
+			g.Late, g.Shed, g.Failed, g.ClientLeft, g.NotAccepted, g.P50*1e3, g.P99*1e3)
 	}
 	w.Flush()
-	var guards []string
-	for k, v := range rep.Guards {
-		guards = append(guards, fmt.Sprintf("%s %.0f", k, v))
-	}
-	sort.Strings(guards)
 	fmt.Fprintf(out, "service %.3f; found warm %.3f of %d served (second half %.3f); %d forwards, %d turned away, %d repeats dropped, %d orders, %d loads; guards: %s; exits: %s\n",
-		rep.Service, rep.Warm, rep.Served, rep.WarmLate, rep.Attempts, rep.Turned, rep.Repeats, rep.Orders, rep.Loads, strings.Join(append(guards, "none")[:max(1, len(guards))], ", "), exits(rep.Exits))
+		r.Service, r.Warm, r.Served, r.WarmSecondHalf, r.Attempts, r.Rejected, r.Duplicates, r.LoadRequests, r.Loads, formatGuards(r.Guards), formatExits(r.Exits))
+}
+
+// write prints a finding: one line, and one for each violation that is described.
+func (f Finding) write(out io.Writer) {
+	nearest := ""
+	if f.Nearest > 0 {
+		nearest = fmt.Sprintf("; %.0f%% of the limit at the nearest", 100*f.Nearest)
+	}
+	fmt.Fprintf(out, "rule %d  %-9s  %5d tests  %s%s\n", f.Rule, f.Verdict(), f.Tests, f.Name, nearest)
+	for _, violation := range f.Breaks {
+		fmt.Fprintf(out, "        %s\n", violation)
+	}
+	if f.Broken > len(f.Breaks) {
+		fmt.Fprintf(out, "        and %d more\n", f.Broken-len(f.Breaks))
+	}
+}
+
+func formatGuards(counts map[string]float64) string {
+	if len(counts) == 0 {
+		return "none"
+	}
+	var out []string
+	for name, n := range counts {
+		out = append(out, fmt.Sprintf("%s %.0f", name, n))
+	}
+	sort.Strings(out)
+	return strings.Join(out, ", ")
 }
 
-// exits tells how many dispatchers ended with each exit code.
-func exits(codes []int) string {
-	n := map[int]int{}
-	for _, c := range codes {
-		n[c]++
+// formatExits counts the dispatchers by exit code.
+func formatExits(codes []int) string {
+	counts := map[int]int{}
+	for _, code := range codes {
+		counts[code]++
 	}
 	var out []string
-	for c, n := range n {
-		out = append(out, fmt.Sprintf("%d of code %d", n, c))
+	for code, n := range counts {
+		out = append(out, fmt.Sprintf("%d of code %d", n, code))
 	}
 	sort.Strings(out)
 	return strings.Join(out, ", ")
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -16,305 +16,263 @@
 	"sync"
 	"time"
 
-	"mastchute/internal/config"
 	"mastchute/internal/emulator"
 )
 
-// Options say how a day is played.
+// Options select how a scenario is played over sockets.
 type Options struct {
-	Self []string  // command line of the program, for the processes of the day
+	Self []string  // command line of mastchute, for the processes of the run
 	Env  []string  // added to their environment
-	Dir  string    // for settings, logs and records; empty: a new one, removed at the end
+	Dir  string    // for settings, logs and records; empty for a temporary one
 	Say  io.Writer // progress; may be nil
 }
 
-// Announce is the line a stand-in process prints once it listens.
-type Announce struct {
-	Workers []WorkerAt `json:"workers"`
-	Control string     `json:"control"`
-}
-
-// WorkerAt is where a stand-in worker listens.
-type WorkerAt struct {
-	Name    string `json:"name"`
-	Address string `json:"address"`
-}
+const (
+	dispatcherStopTimeout = 20 * time.Second
+	emulatorStopTimeout   = 5 * time.Second
+	recordsFile           = "records.jsonl"
+	fleetFile             = "fleet.json"
+)
 
-// run is a day being played.
+// run is a scenario being played over sockets.
 type run struct {
-	day   *Day
-	opt   Options
-	ctx   context.Context
-	fleet *proc
-	ann   Announce
-	disp  []*dispatcher
-	begin time.Time
-	mu    sync.Mutex
-	words []Word
-	downs []Down
-	says  map[string]string // states said of workers now
-	wait  sync.WaitGroup
-	errs  []error
+	scenario    *Scenario
+	options     Options
+	ctx         context.Context // of the whole run
+	emulator    *process
+	addresses   Announce
+	dispatchers []*dispatcherProcess
+	begin       time.Time
+	incidents   sync.WaitGroup
+
+	mu           sync.Mutex
+	stateChanges []StateChange
+	outages      []Outage
+	workerStates map[string]string // the latest that dispatchers were notified of
+	errs         []error
 }
 
-// Play plays a day and returns what was seen. It ends early when ctx does; what was seen by then is returned too.
-func Play(ctx context.Context, day *Day, opt Options) (*Evidence, *Report, error) {
-	if opt.Dir == "" {
+// Play plays a scenario in real processes over loopback sockets and returns what was recorded. It ends early when ctx does;
+// what was recorded by then is returned.
+func Play(ctx context.Context, s *Scenario, o Options) (*Evidence, *Report, error) {
+	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "mastchute-day-")
 		if err != nil {
 			return nil, nil, err
 		}
 		defer os.RemoveAll(dir)
-		opt.Dir = dir
+		o.Dir = dir
 	}
-	if opt.Say == nil {
-		opt.Say = io.Discard
+	if o.Say == nil {
+		o.Say = io.Discard
 	}
-	r := &run{day: day, opt: opt, ctx: ctx, says: map[string]string{}}
-	defer r.end()
-	if err := r.up(); err != nil {
+	r := &run{scenario: s, options: o, ctx: ctx, workerStates: map[string]string{}}
+	defer r.close()
+	if err := r.start(); err != nil {
 		return nil, nil, err
 	}
-	fmt.Fprintf(opt.Say, "%s: %d dispatchers, %d workers, %g inferences a second for %gs\n", day.Name, day.Dispatchers,
-		day.Fleet.Workers, day.Clients.Rate, day.Seconds.Seconds)
-	c := &crowd{day: day}
-	for _, d := range r.disp {
-		c.gateways = append(c.gateways, d.gateway)
+	fmt.Fprintf(o.Say, "%s: %d dispatchers, %d workers, %g inferences a second for %gs\n", s.Name, s.Dispatchers,
+		s.Fleet.Workers, s.Clients.Rate, s.Length.Seconds)
+	generator := &loadGenerator{scenario: s}
+	for _, d := range r.dispatchers {
+		generator.dispatchers = append(generator.dispatchers, &d.client)
 	}
 	r.begin = time.Now()
-	r.schedule()
-	c.load(ctx, r.begin)
-	r.wait.Wait()
-	guards := r.guards()
-	e := &Evidence{Settings: &day.Settings, Zones: map[string]string{}, Cells: map[string]string{}, Words: r.words, Downs: r.downs}
-	rep := &Report{Guards: guards, Clock: "sockets", Seed: day.Seed, Partial: ctx.Err() != nil}
-	for _, d := range r.disp {
-		rep.Exits = append(rep.Exits, d.proc.stop(20*time.Second))
-	}
-	r.fleet.stop(5 * time.Second)
-	for _, t := range c.tries {
-		e.Tries = append(e.Tries, *t)
-	}
-	for _, w := range day.Spec().Workers {
-		e.Zones[w.Name], e.Cells[w.Name] = w.Zone, w.Cell
+	r.scheduleIncidents()
+	generator.run(ctx, r.begin)
+	r.incidents.Wait()
+	return r.collect(generator)
+}
+
+// collect ends the processes in order and returns what was recorded.
+func (r *run) collect(generator *loadGenerator) (*Evidence, *Report, error) {
+	report := &Report{Guards: r.guardCounts(), Clock: "sockets", Seed: r.scenario.Seed, Partial: r.ctx.Err() != nil}
+	for _, d := range r.dispatchers {
+		report.Exits = append(report.Exits, d.process.terminate(dispatcherStopTimeout))
 	}
-	sort.SliceStable(e.Words, func(i, j int) bool { return e.Words[i].Heard < e.Words[j].Heard })
+	r.emulator.terminate(emulatorStopTimeout)
+	e := newEvidence(r.scenario)
+	e.StateChanges = r.stateChanges
+	e.Outages = r.outages
+	e.Tries = generator.clientAttempts()
+	sort.SliceStable(e.StateChanges, func(i, j int) bool { return e.StateChanges[i].NotifiedAt < e.StateChanges[j].NotifiedAt })
 	var err error
-	if e.Records, err = readRecords(filepath.Join(opt.Dir, "records.jsonl")); err != nil {
+	e.Records, err = readRecords(r.path(recordsFile))
+	if err != nil {
 		return nil, nil, err
 	}
-	rep.fill(day, e)
-	return e, rep, errors.Join(r.errs...)
+	report.fill(r.scenario, e)
+	return e, report, errors.Join(r.errs...)
 }
 
+// readRecords reads what the workers recorded.
 func readRecords(file string) ([]emulator.Record, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	var out []emulator.Record
-	d := json.NewDecoder(bufio.NewReaderSize(f, 1<<20))
+	var records []emulator.Record
+	decoder := json.NewDecoder(bufio.NewReaderSize(f, 1<<20))
 	for {
-		var r emulator.Record
-		if err := d.Decode(&r); err == io.EOF {
-			return out, nil
-		} else if err != nil {
-			return out, fmt.Errorf("record %d: %w", len(out)+1, err)
-		}
-		out = append(out, r)
-	}
-}
-
-func (r *run) path(name string) string { return filepath.Join(r.opt.Dir, name) }
-
-// up starts the stand-ins and the dispatchers, and waits until they serve.
-func (r *run) up() error {
-	spec, err := json.Marshal(r.day.Spec())
-	if err != nil {
-		return err
-	}
-	if err := os.WriteFile(r.path("fleet.json"), spec, 0o600); err != nil {
-		return err
-	}
-	pr, pw := io.Pipe()
-	args := []string{"standin", "--spec", r.path("fleet.json"), "--records", r.path("records.jsonl"), "--json"}
-	if r.day.Fleet.Cold {
-		args = append(args, "--cold")
-	}
-	if r.fleet, err = r.opt.start(pw, os.Stderr, args...); err != nil {
-		return err
-	}
-	first := make(chan error, 1)
-	go func() {
-		line, err := bufio.NewReader(pr).ReadBytes('\n')
-		if err == nil {
-			err = json.Unmarshal(line, &r.ann)
+		var record emulator.Record
+		err := decoder.Decode(&record)
+		if errors.Is(err, io.EOF) {
+			return records, nil
 		}
-		first <- err
-		io.Copy(io.Discard, pr)
-	}()
-	select {
-	case err = <-first:
-	case <-r.fleet.done:
-		err = fmt.Errorf("the stand-ins ended with exit code %d", r.fleet.code)
-	case <-time.After(10 * time.Second):
-		err = errors.New("the stand-ins did not come up")
-	}
-	if err != nil {
-		return err
-	}
-	for i := range r.day.Dispatchers {
-		d := &dispatcher{gateway: &gateway{name: fmt.Sprintf("d%d", i)}, cfg: r.day.Settings}
-		d.cfg.Name, d.cfg.Listen, d.cfg.Admin, d.cfg.Seed = d.name, "127.0.0.1:0", "127.0.0.1:0", r.day.Seed*1000+uint64(i)+1
-		d.cfg.Log.Format = "json"
-		for j, w := range r.ann.Workers {
-			ws := r.day.Spec().Workers[j]
-			d.cfg.Workers = append(d.cfg.Workers, config.Worker{Name: w.Name, Address: w.Address, Zone: ws.Zone, Cell: ws.Cell, Weight: 1})
-		}
-		d.file = r.path(d.name + ".yaml")
-		r.disp = append(r.disp, d) // so that it is ended even if it does not come up
-		if err := r.startDispatcher(d); err != nil {
-			return err
+		if err != nil {
+			return records, fmt.Errorf("record %d of %s: %w", len(records)+1, file, err)
 		}
+		records = append(records, record)
 	}
-	return nil
 }
 
-// schedule plays troubles, kills and drains at their times.
-func (r *run) schedule() {
-	at := func(seconds float64, f func()) {
-		r.wait.Add(1)
-		time.AfterFunc(time.Until(r.begin.Add(time.Duration(seconds*float64(time.Second)))), func() {
-			defer r.wait.Done()
+func (r *run) path(name string) string { return filepath.Join(r.options.Dir, name) }
+
+// scheduleIncidents plays faults, kills and notifications at their times.
+func (r *run) scheduleIncidents() {
+	at := func(atSeconds float64, play func()) {
+		r.incidents.Add(1)
+		time.AfterFunc(time.Until(r.begin.Add(seconds(atSeconds))), func() {
+			defer r.incidents.Done()
 			if r.ctx.Err() == nil {
-				f()
+				play()
 			}
 		})
 	}
-	for _, t := range r.day.Troubles {
-		at(t.At.Seconds, func() {
-			body, _ := json.Marshal(emulator.Fault{Kind: t.Kind, Worker: t.Worker, Share: t.Share, Factor: t.Factor, Span: t.For.Seconds, What: t.What})
-			r.say("trouble %s at %s", t.Kind, t.Worker)
-			if err := post("http://"+r.ann.Control+"/fault", body); err != nil {
-				r.fail(fmt.Errorf("trouble %s: %w", t.Kind, err))
-			}
-		})
+	for _, f := range r.scenario.Faults {
+		at(f.At.Seconds, func() { r.injectFault(f) })
 	}
-	for _, k := range r.day.Kills {
-		at(k.At.Seconds, func() { r.kill(r.disp[k.Dispatcher], k.Down.Seconds) })
+	for _, k := range r.scenario.Kills {
+		at(k.At.Seconds, func() { r.kill(r.dispatchers[k.Dispatcher], k.Down.Seconds) })
 	}
-	for _, w := range r.day.words() {
-		at(w.at, func() { r.tell(w.worker, w.state) })
+	for _, n := range r.scenario.notifications() {
+		at(n.at, func() { r.notifyAll(n.worker, n.state) })
 	}
 }
 
-func (r *run) say(f string, a ...any) {
-	fmt.Fprintf(r.opt.Say, "%7.2f s  %s\n", time.Since(r.begin).Seconds(), fmt.Sprintf(f, a...))
+func (r *run) progress(format string, args ...any) {
+	fmt.Fprintf(r.options.Say, "%7.2f s  %s\n", time.Since(r.begin).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (r *run) fail(err error) {
+func (r *run) addError(err error) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.errs = append(r.errs, err)
-	r.mu.Unlock()
 }
 
-// tell tells all dispatchers that run of a worker's state.
-func (r *run) tell(worker, state string) {
-	r.say("%s is %s", worker, state)
+// emulatorFault converts a fault to the emulator's form.
+func (f Fault) emulatorFault() emulator.Fault {
+	return emulator.Fault{Kind: f.Kind, Worker: f.Worker, Share: f.Share, Factor: f.Factor, Span: f.For.Seconds, What: f.What}
+}
+
+func (r *run) injectFault(f Fault) {
+	r.progress("trouble %s at %s", f.Kind, f.Worker)
+	if err := postJSON("http://"+r.addresses.Control+"/fault", f.emulatorFault()); err != nil {
+		r.addError(fmt.Errorf("inject fault %s: %w", f.Kind, err))
+	}
+}
+
+// notifyAll notifies all dispatchers that run of a worker's state.
+func (r *run) notifyAll(worker, state string) {
+	r.progress("%s is %s", worker, state)
 	r.mu.Lock()
-	r.says[worker] = state
+	r.workerStates[worker] = state
 	r.mu.Unlock()
-	for _, d := range r.disp {
-		r.tellOne(d, worker, state)
+	for _, d := range r.dispatchers {
+		r.notify(d, worker, state)
 	}
 }
 
-func (r *run) tellOne(d *dispatcher, worker, state string) {
-	body, _ := json.Marshal(map[string]string{"name": worker, "state": state})
-	if err := post("http://"+d.admin+"/workers", body); err != nil {
-		return // it is down, and is told when it is back
+// notify notifies one dispatcher of a worker's state. One that is down is notified when it is back.
+func (r *run) notify(d *dispatcherProcess, worker, state string) {
+	if err := postJSON("http://"+d.admin+"/workers", map[string]string{"name": worker, "state": state}); err != nil {
+		return
 	}
 	r.mu.Lock()
-	r.words = append(r.words, Word{d.name, worker, state, unix(time.Now())})
-	r.mu.Unlock()
+	defer r.mu.Unlock()
+	r.stateChanges = append(r.stateChanges, StateChange{Dispatcher: d.client.name, Worker: worker, State: state, NotifiedAt: unixNow()})
 }
 
-func post(url string, body []byte) error {
-	resp, err := http.Post(url, "application/json", bytes.NewReader(body))
+// postJSON posts a value as JSON. Responses other than 200 are errors.
+func postJSON(url string, value any) error {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	response, err := http.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != 200 {
-		text, _ := io.ReadAll(resp.Body)
-		return fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(text)))
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(response.Body)
+		return fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(text)))
 	}
 	return nil
 }
 
-// kill ends a dispatcher outright and starts it again.
-func (r *run) kill(d *dispatcher, down float64) {
-	r.say("dispatcher %s is killed", d.name)
-	from := unix(time.Now())
-	d.proc.cmd.Process.Kill()
-	<-d.proc.done
-	time.Sleep(time.Duration(down * float64(time.Second)))
+// kill ends a dispatcher with SIGKILL and starts it again.
+func (r *run) kill(d *dispatcherProcess, down float64) {
+	r.progress("dispatcher %s is killed", d.client.name)
+	from := unixNow()
+	d.process.kill()
+	time.Sleep(seconds(down))
 	err := r.startDispatcher(d)
 	r.mu.Lock()
-	r.downs = append(r.downs, Down{d.name, from, unix(time.Now())})
-	says := map[string]string{}
-	for w, s := range r.says {
-		says[w] = s
+	r.outages = append(r.outages, Outage{Dispatcher: d.client.name, From: from, To: unixNow()})
+	states := map[string]string{}
+	for worker, state := range r.workerStates {
+		states[worker] = state
 	}
 	r.mu.Unlock()
 	if err != nil {
-		r.fail(err)
+		r.addError(err)
 		return
 	}
-	r.say("dispatcher %s is back", d.name)
-	for w, s := range says {
-		if s != "ready" {
-			r.tellOne(d, w, s)
+	r.progress("dispatcher %s is back", d.client.name)
+	for worker, state := range states {
+		if state != stateReady {
+			r.notify(d, worker, state)
 		}
 	}
 }
 
-// guards sums what the hosts' guards counted: each is a fault of the decisions or of the host.
-func (r *run) guards() map[string]float64 {
-	out := map[string]float64{}
-	for _, d := range r.disp {
-		resp, err := http.Get("http://" + d.admin + "/metrics")
+// guardCounts sums up what the guards of all dispatchers counted: each count is a fault of the decisions or of the host.
+func (r *run) guardCounts() map[string]float64 {
+	sums := map[string]float64{}
+	for _, d := range r.dispatchers {
+		response, err := http.Get("http://" + d.admin + "/metrics")
 		if err != nil {
 			continue
 		}
-		s := bufio.NewScanner(resp.Body)
-		for s.Scan() {
-			if rest, ok := strings.CutPrefix(s.Text(), `mastchute_guards_total{guard="`); ok {
-				name, v, _ := strings.Cut(rest, `"} `)
-				var n float64
-				fmt.Sscan(v, &n)
-				out[name] += n
-			}
-		}
-		resp.Body.Close()
+		addGuardCounts(sums, response.Body)
+		response.Body.Close()
 	}
-	return out
+	return sums
 }
 
-// end leaves no process behind.
-func (r *run) end() {
-	for _, d := range r.disp {
-		if d.proc != nil {
-			d.proc.cmd.Process.Kill()
-			<-d.proc.done
-		}
-		if d.log != nil {
-			d.log.Close()
+// addGuardCounts reads the guards' counters from the text of the metrics.
+func addGuardCounts(sums map[string]float64, metrics io.Reader) {
+	s := bufio.NewScanner(metrics)
+	for s.Scan() {
+		rest, ok := strings.CutPrefix(s.Text(), `mastchute_guards_total{guard="`)
+		if !ok {
+			continue
 		}
+		name, value, _ := strings.Cut(rest, `"} `)
+		var count float64
+		fmt.Sscan(value, &count)
+		sums[name] += count
+	}
+}
+
+// close ends all processes that still run.
+func (r *run) close() {
+	for _, d := range r.dispatchers {
+		d.close()
 	}
-	if r.fleet != nil {
-		r.fleet.cmd.Process.Kill()
-		<-r.fleet.done
+	if r.emulator != nil {
+		r.emulator.kill()
 	}
 }
--- /dev/null
+++ b/internal/lab/scenario.go
@@ -0,0 +1,226 @@
+// Package lab plays scenarios, that is load and faults against dispatchers with emulated workers, and checks what came of
+// them.
+//
+// A Scenario is played by Play, in real processes over loopback sockets, or by Simulate, in simulated time in this process.
+// Either way, clients and workers record what was sent and received; CheckInvariants decides from that Evidence alone
+// whether the five rules held, and how often each was put to the test, and a Report sums it up. Experiment compares
+// variants of a scenario, Hunt searches for scenarios in which dispatchers do badly, Load puts load on a running gateway,
+// and Bench measures the gateway beside simpler proxies.
+package lab
+
+import (
+	"fmt"
+	"math"
+	"os"
+
+	"mastchute/internal/config"
+)
+
+// Scenario is a scenario file; docs/lab.md describes it. The order of the fields is that of a written file.
+type Scenario struct {
+	Name        string          `yaml:"name"`
+	Seed        uint64          `yaml:"seed"`
+	Length      config.Duration `yaml:"length"`
+	Dispatchers int             `yaml:"dispatchers"`
+	Settings    config.Config   `yaml:"settings"`
+	Fleet       Fleet           `yaml:"fleet"`
+	Models      []ModelSet      `yaml:"models"`
+	Clients     Clients         `yaml:"clients"`
+	Faults      []Fault         `yaml:"troubles"`
+	Kills       []Kill          `yaml:"kills"`
+	Drains      []Drain         `yaml:"drains"`
+	Releases    []Release       `yaml:"releases"`
+	Size        float64         `yaml:"size"`    // multiplies dispatchers, workers, models, load and store alike
+	Network     Network         `yaml:"network"` // in simulated time only
+	StaleLists  []Span          `yaml:"stale"`   // drains that begin meanwhile are notified at the end of the span
+
+	// releaseSteps counts the drains and faults, at the ends of their lists, that releases were expanded into.
+	releaseSteps int
+}
+
+// Fleet describes the emulated workers.
+type Fleet struct {
+	Workers        int             `yaml:"workers"`
+	Zones          int             `yaml:"zones"`
+	Cores          float64         `yaml:"cores"`
+	Speed          float64         `yaml:"speed"`
+	Memory         config.Size     `yaml:"memory"`
+	Queue          int             `yaml:"queue"`
+	Loads          int             `yaml:"loads"` // concurrent loads of a worker
+	Disk           bool            `yaml:"disk"`  // workers cache images
+	StopsCancelled bool            `yaml:"stops_cancelled"`
+	Cold           bool            `yaml:"cold"` // all workers are in slow start at the begin
+	StoreSlots     int             `yaml:"store_slots"`
+	StoreLimit     int             `yaml:"store_limit"`
+	Keep           config.Duration `yaml:"keep"` // until an idle copy is unloaded
+}
+
+// ModelSet describes some models that are alike.
+type ModelSet struct {
+	Name   string          `yaml:"name"`
+	Count  int             `yaml:"count"`
+	Group  string          `yaml:"group"`
+	Memory config.Size     `yaml:"memory"`
+	Lanes  int             `yaml:"lanes"` // requests that one copy runs at the same time
+	Work   config.Duration `yaml:"work"`
+	Fetch  config.Duration `yaml:"fetch"`
+	Boot   config.Duration `yaml:"boot"`
+	Share  float64         `yaml:"share"` // of all requests, relative to the shares of the other sets
+	Zipf   float64         `yaml:"zipf"`  // exponent of the models' popularity; 0 for equal popularity
+	Answer config.Size     `yaml:"answer"`
+}
+
+// Clients describes the load: open-loop arrivals at a rate.
+type Clients struct {
+	Rate      float64 `yaml:"rate"`      // logical calls a second
+	Retries   int     `yaml:"retries"`   // of a call at most
+	Impatient float64 `yaml:"impatient"` // fraction of attempts that leave before their timeout
+	Bursts    []Burst `yaml:"bursts"`
+}
+
+// Burst multiplies the rate for a while.
+type Burst struct {
+	Span   `yaml:",inline"`
+	Factor float64 `yaml:"factor"`
+}
+
+// Release restarts all workers in batches: each drains, ends, and starts again empty under its name.
+type Release struct {
+	At       config.Duration `yaml:"at"`
+	Every    config.Duration `yaml:"every"`    // from the begin of one batch to that of the next
+	Together int             `yaml:"together"` // workers of a batch
+	Drain    config.Duration `yaml:"drain"`
+	Down     config.Duration `yaml:"down"`
+}
+
+// Network describes the delay of messages between clients, dispatchers and workers, one way.
+type Network struct {
+	Delay  config.Duration `yaml:"delay"`
+	Jitter config.Duration `yaml:"jitter"` // mean of an exponentially distributed addition
+	Lost   float64         `yaml:"lost"`   // fraction of messages that are lost once and retransmitted
+}
+
+// Span is a span of time of a scenario.
+type Span struct {
+	At  config.Duration `yaml:"at"`
+	For config.Duration `yaml:"for"`
+}
+
+// end is the time in seconds at which the span is over.
+func (s Span) end() float64 { return s.At.Seconds + s.For.Seconds }
+
+// contains reports whether a time in seconds is in the span.
+func (s Span) contains(at float64) bool { return at >= s.At.Seconds && at < s.end() }
+
+// Fault is a fault of the emulated workers or their store; the kinds are those of package emulator.
+type Fault struct {
+	At     config.Duration `yaml:"at"`
+	For    config.Duration `yaml:"for"`
+	Kind   string          `yaml:"kind"`
+	Worker string          `yaml:"worker"` // name or pattern; empty for all
+	Share  float64         `yaml:"share"`
+	Factor float64         `yaml:"factor"`
+	What   string          `yaml:"what"` // tenant or model group
+}
+
+// Kill ends a dispatcher with SIGKILL and starts it again.
+type Kill struct {
+	At         config.Duration `yaml:"at"`
+	Down       config.Duration `yaml:"down"`
+	Dispatcher int             `yaml:"dispatcher"`
+}
+
+// Drain notifies all dispatchers that a worker is draining or gone, and that it is ready again at the end.
+type Drain struct {
+	At     config.Duration `yaml:"at"`
+	For    config.Duration `yaml:"for"`
+	Worker string          `yaml:"worker"`
+	State  string          `yaml:"state"`
+}
+
+// Worker states in drains and in what dispatchers are notified of.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
+// LoadDay reads and checks a scenario file; see ParseScenario.
+func LoadDay(file string, clock Clock) (*Scenario, error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	return ParseScenario(file, text, clock)
+}
+
+// ParseScenario reads and checks a scenario and completes its settings with the fleet's models. The file name is for
+// messages only. Faults of the text are returned as config.Problems.
+func ParseScenario(file string, text []byte, clock Clock) (*Scenario, error) {
+	s, source, err := decodeScenario(file, text)
+	if err != nil {
+		return nil, err
+	}
+	s.check(source, clock)
+	if problems := source.Problems(); len(problems) > 0 {
+		return nil, problems
+	}
+	return s, nil
+}
+
+// decodeScenario reads a scenario as it is written, without checking its values.
+func decodeScenario(file string, text []byte) (*Scenario, *config.Source, error) {
+	s := &Scenario{Seed: 1, Size: 1, Dispatchers: 1, Settings: config.Default(),
+		Fleet: Fleet{Zones: 1, Cores: 4, Speed: 1, Memory: config.B(2e9), Queue: 64, Loads: 4, Disk: true, StopsCancelled: true,
+			StoreSlots: 4, StoreLimit: 24},
+		Network: Network{Delay: config.S(0.0001), Jitter: config.S(0.0001)}}
+	source, err := config.Decode(file, text, s)
+	if err != nil {
+		return nil, nil, err
+	}
+	if problems := source.Problems(); len(problems) > 0 {
+		return nil, nil, problems
+	}
+	return s, source, nil
+}
+
+// peakFactor is the largest factor of a burst, at least 1.
+func (s *Scenario) peakFactor() float64 {
+	factor := 1.0
+	for _, b := range s.Clients.Bursts {
+		factor = math.Max(factor, b.Factor)
+	}
+	return factor
+}
+
+// withoutFaults returns the scenario with the same load and nothing that goes wrong.
+func (s *Scenario) withoutFaults() *Scenario {
+	calm := *s
+	calm.Faults = nil
+	calm.Kills = nil
+	calm.Drains = nil
+	calm.Releases = nil
+	calm.StaleLists = nil
+	calm.Clients.Bursts = nil
+	calm.releaseSteps = 0
+	return &calm
+}
+
+func workerName(index int) string { return fmt.Sprintf("w%d", index+1) }
+
+func (s *Scenario) workerNames() []string {
+	var names []string
+	for i := range s.Fleet.Workers {
+		names = append(names, workerName(i))
+	}
+	return names
+}
+
+// groups returns the model groups by name.
+func (s *Scenario) groups() map[string]config.Group {
+	groups := map[string]config.Group{}
+	for _, g := range s.Settings.Groups {
+		groups[g.Name] = g
+	}
+	return groups
+}
--- /dev/null
+++ b/internal/lab/scenario_expand.go
@@ -0,0 +1,175 @@
+package lab
+
+import (
+	"fmt"
+	"math"
+	"strings"
+
+	"mastchute/internal/config"
+	"mastchute/internal/emulator"
+)
+
+// What a scenario stands for: its size applied, releases as steps, the fleet for the emulator, and the notifications of
+// dispatchers.
+
+// scale makes a scenario larger or smaller by a factor, in all that grows with a site.
+func (s *Scenario) scale(factor float64) {
+	if factor == 1 {
+		return
+	}
+	scaleCount := func(n *int) { *n = max(1, int(math.Round(float64(*n)*factor))) }
+	scaleCount(&s.Dispatchers)
+	scaleCount(&s.Fleet.Workers)
+	scaleCount(&s.Fleet.StoreSlots)
+	scaleCount(&s.Fleet.StoreLimit)
+	for i := range s.Models {
+		s.Models[i].Count = max(1, s.Models[i].Count)
+		scaleCount(&s.Models[i].Count)
+	}
+	for i := range s.Releases {
+		scaleCount(&s.Releases[i].Together)
+	}
+	for i := range s.Settings.Tenants {
+		s.Settings.Tenants[i].Quota *= factor
+	}
+	s.Clients.Rate *= factor
+}
+
+// expandRelease adds the drains and crashes that a release consists of.
+func (s *Scenario) expandRelease(r Release) {
+	if r.Every.Seconds <= 0 || r.Together <= 0 {
+		return // reported by the check
+	}
+	for i, worker := range s.workerNames() {
+		drainAt := r.At.Seconds + float64(i/r.Together)*r.Every.Seconds
+		endAt := drainAt + r.Drain.Seconds
+		if endAt >= s.Length.Seconds {
+			return
+		}
+		s.Drains = append(s.Drains, Drain{At: config.S(drainAt), For: config.S(r.Drain.Seconds + r.Down.Seconds), Worker: worker, State: stateDraining})
+		s.Faults = append(s.Faults, Fault{At: config.S(endAt), For: r.Down, Kind: emulator.FaultVanish, Worker: worker})
+		s.releaseSteps++
+	}
+}
+
+// notification is a state of a worker that dispatchers are notified of, at a time in seconds of the scenario.
+type notification struct {
+	at            float64
+	worker, state string
+}
+
+// notifications returns all notifications of the scenario. Those of a stale list arrive when it is fresh again.
+func (s *Scenario) notifications() (out []notification) {
+	for _, d := range s.Drains {
+		notifiedAt := d.At.Seconds
+		readyAt := d.At.Seconds + d.For.Seconds
+		for _, stale := range s.StaleLists {
+			if stale.contains(notifiedAt) {
+				notifiedAt = stale.end()
+			}
+		}
+		out = append(out, notification{notifiedAt, d.Worker, d.State})
+		if d.For.Seconds > 0 && readyAt > notifiedAt {
+			out = append(out, notification{readyAt, d.Worker, stateReady})
+		}
+	}
+	return out
+}
+
+// Spec returns the fleet of the scenario for the emulator.
+func (s *Scenario) Spec() emulator.Spec {
+	rules := s.Settings.Rules
+	fleet := s.Fleet
+	groups := s.groups()
+	spec := emulator.Spec{Seed: s.Seed, Store: emulator.StoreSpec{Slots: fleet.StoreSlots, Limit: fleet.StoreLimit}}
+	for i, name := range s.workerNames() {
+		spec.Workers = append(spec.Workers, emulator.WorkerSpec{Name: name, Zone: fmt.Sprintf("z%d", i%fleet.Zones+1), Cores: fleet.Cores,
+			Speed: fleet.Speed, MemoryMB: fleet.Memory.MB(), Queue: fleet.Queue, Loads: fleet.Loads,
+			OnMiss: emulator.MissPolicy(s.Settings.Loads.OnMiss), Keep: fleet.Keep.Seconds, Disk: fleet.Disk,
+			StopsCancelled: fleet.StopsCancelled, ColdShare: rules.ColdShare, WarmAfter: rules.WarmAfter.Seconds,
+			Overload: rules.OverloadFactor, Fall: rules.Fall.Seconds})
+	}
+	for _, m := range s.Models {
+		group := groups[m.Group]
+		spec.Models = append(spec.Models, emulator.ModelSpec{Name: m.Name + "-*", Group: m.Group, MemoryMB: m.Memory.MB(), Lanes: m.Lanes,
+			Work: m.Work.Seconds, Fetch: m.Fetch.Seconds, Boot: m.Boot.Seconds, Deduped: group.Effect == effectDeduped,
+			DedupWindow: group.Window.Seconds, DedupScope: emulator.DedupScope(group.Scope), ResponseBytes: int(m.Answer.Bytes)})
+	}
+	return spec
+}
+
+// The effects of model groups, as settings name them.
+const (
+	effectRetriable    = "retriable"
+	effectDeduped      = "deduped"
+	effectNonRetriable = "non-retriable"
+)
+
+// model is one model of a scenario.
+type model struct {
+	name            string
+	group           config.Group
+	cumulativeShare float64 // of all requests, for this model and those before it
+}
+
+// modelsByShare returns all models of the scenario with their cumulative shares of the requests.
+func (s *Scenario) modelsByShare() []model {
+	groups := s.groups()
+	var models []model
+	total := 0.0
+	for _, set := range s.Models {
+		share := set.Share
+		if share == 0 {
+			share = 1
+		}
+		sum := 0.0
+		for i := range set.Count {
+			sum += zipfWeight(i, set.Zipf)
+		}
+		for i := range set.Count {
+			total += share * zipfWeight(i, set.Zipf) / sum
+			models = append(models, model{fmt.Sprintf("%s-%d", set.Name, i+1), groups[set.Group], total})
+		}
+	}
+	for i := range models {
+		models[i].cumulativeShare /= total
+	}
+	return models
+}
+
+// zipfWeight is the weight of the model of a rank, from 0.
+func zipfWeight(rank int, exponent float64) float64 { return math.Pow(float64(rank+1), -exponent) }
+
+// FaultSpan is a span of a scenario in which something went wrong, shaded in plots.
+type FaultSpan struct {
+	From        float64 `json:"from"`
+	To          float64 `json:"to"`
+	Description string  `json:"what"`
+}
+
+// minShadedSpan is the least duration that is visible in plots.
+const minShadedSpan = 0.1 // s
+
+// faultSpans lists what goes wrong in a scenario. A release is one span, not the steps that it was expanded into.
+func (s *Scenario) faultSpans() (out []FaultSpan) {
+	add := func(at, duration float64, description string) {
+		out = append(out, FaultSpan{at, math.Min(s.Length.Seconds, at+math.Max(duration, minShadedSpan)), description})
+	}
+	for _, r := range s.Releases {
+		batches := math.Ceil(float64(s.Fleet.Workers) / math.Max(1, float64(r.Together)))
+		add(r.At.Seconds, batches*r.Every.Seconds, "release")
+	}
+	for _, f := range s.Faults[:len(s.Faults)-s.releaseSteps] {
+		add(f.At.Seconds, f.For.Seconds, strings.TrimSpace(f.Kind+" "+f.Worker))
+	}
+	for _, k := range s.Kills {
+		add(k.At.Seconds, k.Down.Seconds, fmt.Sprintf("dispatcher %d killed", k.Dispatcher))
+	}
+	for _, d := range s.Drains[:len(s.Drains)-s.releaseSteps] {
+		add(d.At.Seconds, d.For.Seconds, d.Worker+" "+d.State)
+	}
+	for _, b := range s.Clients.Bursts {
+		add(b.At.Seconds, b.For.Seconds, fmt.Sprintf("load times %g", b.Factor))
+	}
+	return out
+}
--- a/internal/lab/day_test.go
+++ b/internal/lab/scenario_test.go
@@ -12,7 +12,7 @@
 	"mastchute/internal/lab"
 )
 
-// The processes of a day are this test's own program, told by the environment to be mastchute.
+// The processes of a run are this test's own program, told by the environment to be mastchute.
 func TestMain(m *testing.M) {
 	if os.Getenv("MASTCHUTE_TEST_CHILD") == "1" {
 		os.Exit(cli.Main(os.Args[1:]))
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-const short = `name: short
+const shortScenario = `name: short
 seed: 3
 length: 4s
 dispatchers: 2
@@ -45,54 +45,54 @@
 drains: [{at: 1500ms, for: 1500ms, worker: w4}, {at: 3s, worker: w1, state: gone}]
 `
 
-func TestShortDayKeepsTheRules(t *testing.T) {
+func TestShortScenarioKeepsTheRules(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	day, err := lab.ParseDay("short", []byte(short), lab.Sockets)
+	scenario, err := lab.ParseScenario("short", []byte(shortScenario), lab.Sockets)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rep, err := lab.Play(context.Background(), day, lab.Options{Self: []string{self}, Env: []string{"MASTCHUTE_TEST_CHILD=1"}, Dir: t.TempDir()})
+	_, report, err := lab.Play(context.Background(), scenario, lab.Options{Self: []string{self}, Env: []string{"MASTCHUTE_TEST_CHILD=1"}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	rep.Write(&out)
-	if rep.Broken() || len(rep.Guards) > 0 {
+	report.Write(&out)
+	if report.Broken() || len(report.Guards) > 0 {
 		t.Errorf("\n%s", out.String())
 	}
-	for _, f := range rep.Findings {
-		if f.Tests == 0 {
-			t.Errorf("rule %d was not put to the test", f.Rule)
+	for _, finding := range report.Findings {
+		if finding.Tests == 0 {
+			t.Errorf("rule %d was not put to the test", finding.Rule)
 		}
 	}
-	for i, c := range rep.Exits {
-		if c != 0 {
-			t.Errorf("dispatcher %d ended with exit code %d", i, c)
+	for i, code := range report.Exits {
+		if code != 0 {
+			t.Errorf("dispatcher %d ended with exit code %d", i, code)
 		}
 	}
-	if rep.Service < 0.5 {
-		t.Errorf("service %.3f: hardly anything was returned\n%s", rep.Service, out.String())
+	if report.Service < 0.5 {
+		t.Errorf("service %.3f: hardly anything was returned\n%s", report.Service, out.String())
 	}
 	t.Logf("\n%s", out.String())
 }
 
-func TestDaysOfTheRepositoryAreGood(t *testing.T) {
+func TestScenariosOfTheRepositoryAreValid(t *testing.T) {
 	files, _ := filepath.Glob("../../days/*.yaml")
 	if len(files) < 4 {
-		t.Errorf("%d days", len(files))
+		t.Errorf("%d scenarios", len(files))
 	}
-	for _, f := range files {
-		if _, err := lab.LoadDay(f, lab.Simulated); err != nil {
+	for _, file := range files {
+		if _, err := lab.LoadDay(file, lab.Simulated); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-func TestBadDaysAreRefused(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
+func TestInvalidScenariosAreRejected(t *testing.T) {
+	for _, c := range []struct{ old, new, message string }{
 		{"at: 500ms, for: 1s", "at: 9s, for: 1s", "troubles[0].at: 9s is not within the day of 4s"},
 		{"kind: reset", "kind: rust", `troubles[0].kind: "rust" is not known`},
 		{"worker: w2", "worker: w9", `troubles[1].worker: "w9" is no worker of this day`},
@@ -107,9 +107,9 @@
 		{"length: 4s", "length: 4", `length: "4" is not a span`},
 		{"seed: 3", "sead: 3", "unknown field"},
 	} {
-		text := strings.Replace(short, c.old, c.new, 1)
-		_, err := lab.ParseDay("day.yaml", []byte(text), lab.Sockets)
-		if err == nil || !strings.Contains(err.Error(), c.says) || !strings.HasPrefix(err.Error(), "day.yaml:") {
+		text := strings.Replace(shortScenario, c.old, c.new, 1)
+		_, err := lab.ParseScenario("day.yaml", []byte(text), lab.Sockets)
+		if err == nil || !strings.Contains(err.Error(), c.message) || !strings.HasPrefix(err.Error(), "day.yaml:") {
 			t.Errorf("%s for %s: %v", c.new, c.old, err)
 		}
 	}
--- /dev/null
+++ b/internal/lab/sim_actions.go
@@ -0,0 +1,166 @@
+package lab
+
+import (
+	"mastchute/control"
+	"mastchute/internal/emulator"
+	"mastchute/internal/membership"
+)
+
+// The actions of the decisions: simDispatcher implements control.Actions.
+
+// SendAttempt implements control.Actions.
+func (d *simDispatcher) SendAttempt(id control.RequestID, workerID control.WorkerID, timeout control.Seconds) {
+	s := d.sim
+	r := d.requests[id]
+	w := d.members.ByID(workerID)
+	if r == nil || w == nil {
+		s.guards["unknown"]++
+		return
+	}
+	a := &simAttempt{dispatcher: d, request: r, number: len(r.attempts), worker: s.workerIndex(w.Name), createdAt: s.now}
+	r.attempts = append(r.attempts, a)
+	r.pending++
+	if r.answered || w.State != control.Ready {
+		s.guards["forward_barred"]++
+		d.endAttempt(a, &workerResponse{result: control.NotSent, sameModelInFlight: noOthersReported})
+		return
+	}
+	w.MarkSent()
+	d.lastSentAt[a.worker] = s.now
+	if timeout > 0 {
+		d.later(timeout, func() {
+			d.endAttempt(a, &workerResponse{result: control.TimedOut, sameModelInFlight: noOthersReported})
+		})
+	}
+	a.workerView = emulator.Request{Owner: a, Model: r.model.name, Tenant: r.tenant, IdempotencyKey: r.key, Deadline: r.deadline}
+	a.onResponse = func(response *workerResponse) {
+		d.observeWorker(a.worker, response)
+		d.endAttempt(a, response)
+	}
+	s.send(a)
+}
+
+// Shed implements control.Actions.
+func (d *simDispatcher) Shed(id control.RequestID, retryAfter control.Seconds) {
+	if r := d.requests[id]; r != nil {
+		d.answer(r, simResponse{status: 503, answer: AnswerShed, retryAfter: retryAfter})
+	}
+}
+
+// Fail implements control.Actions.
+func (d *simDispatcher) Fail(id control.RequestID) {
+	if r := d.requests[id]; r != nil {
+		d.answer(r, simResponse{status: 502, answer: AnswerFailed})
+	}
+}
+
+// CancelAttempt implements control.Actions.
+func (d *simDispatcher) CancelAttempt(id control.RequestID, number int) {
+	if r := d.requests[id]; r != nil && number < len(r.attempts) {
+		d.endAttempt(r.attempts[number], &workerResponse{result: control.Cancelled, sameModelInFlight: noOthersReported})
+	}
+}
+
+// LoadModel implements control.Actions.
+func (d *simDispatcher) LoadModel(workerID control.WorkerID, modelID control.ModelID, replicas int) {
+	s := d.sim
+	w := d.members.ByID(workerID)
+	m := s.modelByID(modelID)
+	if w == nil || m == nil {
+		s.guards["unknown"]++
+		return
+	}
+	a := &simAttempt{dispatcher: d, worker: s.workerIndex(w.Name), createdAt: s.now}
+	a.workerView = emulator.Request{Owner: a, Model: m.name, IsLoad: true, Replicas: replicas}
+	incarnation := d.incarnation
+	finish := func(result control.Result, replicas int) {
+		if a.ended || d.incarnation != incarnation {
+			return
+		}
+		a.ended = true
+		load := control.LoadResult{Worker: workerID, Model: modelID, Result: result, Duration: s.now - a.createdAt, Replicas: replicas}
+		d.event(func() { d.module.LoadFinished(load) })
+	}
+	if w.State != control.Ready {
+		s.guards["order_barred"]++
+		s.after(0, func() { finish(control.NotSent, 0) })
+		return
+	}
+	a.onResponse = func(response *workerResponse) {
+		d.observeWorker(a.worker, response)
+		finish(response.result, response.replicas)
+	}
+	s.after(s.scenario.Settings.Loads.Timeout.Seconds, func() { finish(control.TimedOut, 0) })
+	s.send(a)
+}
+
+// UnloadModel implements control.Actions.
+func (d *simDispatcher) UnloadModel(workerID control.WorkerID, modelID control.ModelID) {
+	s := d.sim
+	w := d.members.ByID(workerID)
+	m := s.modelByID(modelID)
+	if w != nil && m != nil {
+		s.message(func() { s.fleet.Unload(s.now, s.workerIndex(w.Name), m.name) })
+	}
+}
+
+// ProbeWorker implements control.Actions.
+func (d *simDispatcher) ProbeWorker(workerID control.WorkerID) {
+	w := d.members.ByID(workerID)
+	if w == nil {
+		return
+	}
+	s := d.sim
+	sentAt := s.now
+	d.probe(s.workerIndex(w.Name), func(response *workerResponse) {
+		result := control.ProbeResult{Worker: workerID, Result: response.result, Duration: s.now - sentAt, LoadReport: response.loadReport}
+		d.event(func() { d.module.ProbeFinished(result) })
+	})
+}
+
+// CloseIdleConnections implements control.Actions. Simulated connections are not kept.
+func (d *simDispatcher) CloseIdleConnections(control.WorkerID) {}
+
+// SendPeerMessage implements control.Actions. Simulated dispatchers have no peers, as those of a run over sockets.
+func (d *simDispatcher) SendPeerMessage(control.PeerID, []byte) { d.sim.guards["note_dropped"]++ }
+
+// SubscribeWorkerList implements control.Actions.
+func (d *simDispatcher) SubscribeWorkerList(subscribe bool) {
+	wasSubscribed := d.subscribed
+	d.subscribed = subscribe
+	if subscribe && !wasSubscribed {
+		d.FetchWorkerList()
+	}
+}
+
+// FetchWorkerList implements control.Actions.
+func (d *simDispatcher) FetchWorkerList() {
+	d.later(0, func() {
+		d.event(func() { d.sendWorkerList(control.ListSnapshot) })
+	})
+}
+
+// SetTimer implements control.Actions. Setting a timer again replaces it.
+func (d *simDispatcher) SetTimer(delay control.Seconds, id control.TimerID) {
+	d.timerSets[id]++
+	number := d.timerSets[id]
+	d.later(delay, func() {
+		if d.timerSets[id] == number {
+			d.event(func() { d.module.TimerFired(id) })
+		}
+	})
+}
+
+// Log implements control.Actions.
+func (d *simDispatcher) Log(string) {}
+
+// observeWorker records the start that a worker's response tells.
+func (d *simDispatcher) observeWorker(worker int, response *workerResponse) {
+	if response.startedAt <= 0 || d.module == nil {
+		return
+	}
+	w := d.members.ByName(d.sim.spec.Workers[worker].Name)
+	if d.members.ObserveStart(w, response.startedAt, response.startedAt-simEpoch-d.startedAt, d.sim.now-d.startedAt) {
+		d.sendChanges([]*membership.Worker{w})
+	}
+}
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -9,280 +9,309 @@
 	"text/tabwriter"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"mastchute/internal/emulator"
 )
 
-// Slice is what happened in one span of a day. Calls count in the slice in which their first try was sent.
-type Slice struct {
-	From     float64 `json:"from"` // s from the day's begin
-	Asked    int     `json:"asked"`
-	InSLO    int     `json:"in_slo"`
-	Late     int     `json:"late"`
-	Shed     int     `json:"shed"` // calls whose last try was shed
-	Lost     int     `json:"lost"` // failed, left or refused at last
-	Service  float64 `json:"service"`
-	Attempts int     `json:"forwards"`
-	Turned   int     `json:"turned"`
-	Loads    int     `json:"loads"`
-	Orders   int     `json:"orders"`
-	Fetches  int     `json:"fetches"`      // of a model from the store
-	Used     int     `json:"workers_used"` // that ran something
-	Up       float64 `json:"workers_up"`   // mean
-	Running  float64 `json:"running"`      // mean requests running at a time
-	Waiting  float64 `json:"waiting"`      // mean requests taken by workers that wait there: for a load or a lane
-	Vain     float64 `json:"vain"`         // share of the run time that went to answers late or not wanted any more
-	P50      float64 `json:"p50_s"`
-	P99      float64 `json:"p99_s"`
+// TimelineBucket sums up one span of a scenario. Calls count in the bucket in which their first attempt was sent.
+type TimelineBucket struct {
+	From         float64 `json:"from"` // s from the begin of the scenario
+	Asked        int     `json:"asked"`
+	InSLO        int     `json:"in_slo"`
+	Late         int     `json:"late"`
+	Shed         int     `json:"shed"` // calls whose last attempt was shed
+	Lost         int     `json:"lost"` // calls whose last attempt failed, was not accepted, or whose client left
+	Service      float64 `json:"service"`
+	Attempts     int     `json:"forwards"`
+	Rejected     int     `json:"turned"`
+	Loads        int     `json:"loads"`
+	LoadRequests int     `json:"orders"`
+	Fetches      int     `json:"fetches"`      // of a model from the store
+	WorkersUsed  int     `json:"workers_used"` // that ran something
+	WorkersUp    float64 `json:"workers_up"`   // mean
+	Running      float64 `json:"running"`      // mean number of requests that run
+	Waiting      float64 `json:"waiting"`      // mean number of requests that wait at workers, for a load or a lane
+	Wasted       float64 `json:"vain"`         // fraction of the run time for responses that were late or no longer wanted
+	P50          float64 `json:"p50_s"`
+	P99          float64 `json:"p99_s"`
 }
 
-// sliceCount is how many parts a day is cut into.
-const sliceCount = 20
+// timelineBuckets is the number of buckets of a scenario.
+const timelineBuckets = 20
 
-// timeline cuts a day into slices.
-func timeline(day *Day, e *Evidence) []Slice {
+// newTimeline divides a scenario into buckets.
+func newTimeline(s *Scenario, e *Evidence) []TimelineBucket {
 	if len(e.Tries) == 0 {
 		return nil
 	}
-	c := newCutter(day, e)
-	c.calls(day, e)
-	c.records(day, e)
-	return c.finish()
+	b := newTimelineBuilder(s, e)
+	b.addCalls(s, e)
+	b.addRecords(s, e)
+	return b.finish()
+}
+
+// bucketBuilder is a bucket in the making.
+type bucketBuilder struct {
+	TimelineBucket
+	valueReturned, valueAsked float64
+	runTime, wastedTime       float64 // as fractions of the bucket
+	latencies                 *hdrhistogram.Histogram
+	workersUsed               map[string]bool
 }
 
-// cutter sums up a day by slice.
-type cutter struct {
-	begin, width            float64
-	slices                  []Slice
-	got, asked, total, vain []float64 // value in time and asked for; work done, and that of it for nothing
-	hist                    []*hdrhistogram.Histogram
-	used                    []map[string]bool // workers that ran something
-	wanted                  map[string]bool   // requests whose answer came in time
+// timelineBuilder sums up a scenario by bucket.
+type timelineBuilder struct {
+	begin, width float64 // s
+	buckets      []bucketBuilder
+	wanted       map[string]bool // requests whose response came within the latency objective
+	arrivedAt    map[workerAttemptID]float64
+	startedAt    map[workerAttemptID]float64
 }
 
-func newCutter(day *Day, e *Evidence) *cutter {
-	c := &cutter{begin: math.Inf(1), width: day.Seconds.Seconds / sliceCount, slices: make([]Slice, sliceCount),
-		got: make([]float64, sliceCount), asked: make([]float64, sliceCount), total: make([]float64, sliceCount),
-		vain: make([]float64, sliceCount), hist: newHistograms(sliceCount), used: make([]map[string]bool, sliceCount),
-		wanted: map[string]bool{}}
-	for _, t := range e.Tries {
-		c.begin = math.Min(c.begin, t.Sent)
+// workerAttemptID identifies an attempt at a worker.
+type workerAttemptID struct {
+	request string
+	attempt int
+	worker  string
+}
+
+func newTimelineBuilder(s *Scenario, e *Evidence) *timelineBuilder {
+	b := &timelineBuilder{begin: math.Inf(1), width: s.Length.Seconds / timelineBuckets, buckets: make([]bucketBuilder, timelineBuckets),
+		wanted: map[string]bool{}, arrivedAt: map[workerAttemptID]float64{}, startedAt: map[workerAttemptID]float64{}}
+	for _, a := range e.Tries {
+		b.begin = math.Min(b.begin, a.SentAt)
 	}
-	for i := range c.slices {
-		c.slices[i].From, c.slices[i].Up = float64(i)*c.width, float64(day.Fleet.Workers)
-		c.used[i] = map[string]bool{}
+	for i := range b.buckets {
+		b.buckets[i] = bucketBuilder{TimelineBucket: TimelineBucket{From: float64(i) * b.width, WorkersUp: float64(s.Fleet.Workers)},
+			latencies: newLatencyHistogram(), workersUsed: map[string]bool{}}
 	}
-	return c
+	return b
 }
 
-// at is the number of the slice that a time lies in.
-func (c *cutter) at(t float64) int {
-	return int(math.Max(0, math.Min(sliceCount-1, (t-c.begin)/c.width)))
+// bucketAt returns the bucket of a time, the first or last for a time outside the scenario.
+func (b *timelineBuilder) bucketAt(at float64) *bucketBuilder {
+	return &b.buckets[int(math.Max(0, math.Min(timelineBuckets-1, (at-b.begin)/b.width)))]
 }
 
-// spread books a span over the slices it lies in.
-func (c *cutter) spread(from, to float64, f func(i int, share float64)) {
-	for i := range c.slices {
-		start := c.slices[i].From
-		lo, hi := math.Max(from-c.begin, start), math.Min(to-c.begin, start+c.width)
-		if hi > lo {
-			f(i, (hi-lo)/c.width)
+// spread calls add for each bucket that a span overlaps, with the fraction of the bucket that it covers.
+func (b *timelineBuilder) spread(from, to float64, add func(bucket *bucketBuilder, fraction float64)) {
+	for i := range b.buckets {
+		start := b.buckets[i].From
+		low := math.Max(from-b.begin, start)
+		high := math.Min(to-b.begin, start+b.width)
+		if high > low {
+			add(&b.buckets[i], (high-low)/b.width)
 		}
 	}
 }
 
-// ends are the first and the last try of a call.
-type ends struct{ first, last *Try }
+// callEnds are the first and the last attempt of a logical call.
+type callEnds struct{ first, last *ClientAttempt }
 
-func endsOfCalls(e *Evidence) map[string]*ends {
-	calls := map[string]*ends{}
+func callEndsByKey(e *Evidence) map[string]*callEnds {
+	calls := map[string]*callEnds{}
 	for i := range e.Tries {
-		t := &e.Tries[i]
-		call := calls[t.Key]
+		a := &e.Tries[i]
+		call := calls[a.Key]
 		if call == nil {
-			call = &ends{first: t, last: t}
-			calls[t.Key] = call
+			call = &callEnds{first: a, last: a}
+			calls[a.Key] = call
 		}
-		if t.Number < call.first.Number {
-			call.first = t
+		if a.Number < call.first.Number {
+			call.first = a
 		}
-		if t.Number >= call.last.Number {
-			call.last = t
+		if a.Number >= call.last.Number {
+			call.last = a
 		}
 	}
 	return calls
 }
 
-// calls books each call in the slice in which it was first sent.
-func (c *cutter) calls(day *Day, e *Evidence) {
-	value, slo := map[string]float64{}, map[string]float64{}
-	for _, g := range day.Settings.Groups {
-		value[g.Name], slo[g.Name] = g.Value, g.SLO.Seconds
-		if g.Value == 0 {
-			value[g.Name] = 1
-		}
-	}
-	calls := endsOfCalls(e)
-	for i := range e.Tries { // in order of the tries, so that sums come out the same each time
+// addCalls counts each call in the bucket in which it was first sent, in the order of the attempts so that sums of
+// floating-point numbers are the same each time.
+func (b *timelineBuilder) addCalls(s *Scenario, e *Evidence) {
+	groups := s.groups()
+	calls := callEndsByKey(e)
+	for i := range e.Tries {
 		call := calls[e.Tries[i].Key]
-		if call.last != &e.Tries[i] {
-			continue
-		}
-		k, group := c.at(call.first.Sent), call.first.Group
-		s := &c.slices[k]
-		s.Asked++
-		c.asked[k] += value[group]
-		took := call.last.Answered - call.first.Sent
-		switch {
-		case call.last.Answer == "returned" && took <= slo[group]:
-			s.InSLO++
-			c.got[k] += value[group]
-			c.wanted[call.last.Request] = true
-		case call.last.Answer == "returned":
-			s.Late++
-		case call.last.Answer == "shed":
-			s.Shed++
-		default:
-			s.Lost++
-		}
-		if call.last.Answer == "returned" {
-			c.hist[k].RecordValue(int64(took * 1e6))
+		if call.last == &e.Tries[i] {
+			group := groups[call.first.Group]
+			b.addCall(call, valueOf(group.Value), group.SLO.Seconds)
 		}
 	}
 }
 
-// sent is an attempt at a worker.
-type sent struct {
-	request string
-	attempt int
-	worker  string
+func (b *timelineBuilder) addCall(call *callEnds, value, objective float64) {
+	bucket := b.bucketAt(call.first.SentAt)
+	bucket.Asked++
+	bucket.valueAsked += value
+	took := call.last.AnsweredAt - call.first.SentAt
+	switch {
+	case call.last.Answer == AnswerReturned && took <= objective:
+		bucket.InSLO++
+		bucket.valueReturned += value
+		b.wanted[call.last.Request] = true
+	case call.last.Answer == AnswerReturned:
+		bucket.Late++
+	case call.last.Answer == AnswerShed:
+		bucket.Shed++
+	default:
+		bucket.Lost++
+	}
+	if call.last.Answer == AnswerReturned {
+		bucket.latencies.RecordValue(int64(took * microsPerSecond))
+	}
 }
 
-// records books what the workers wrote down.
-func (c *cutter) records(day *Day, e *Evidence) {
-	arrived, ran, down := map[sent]float64{}, map[sent]float64{}, map[string]float64{}
-	lessUp := func(from, to float64) {
-		c.spread(from, to, func(i int, share float64) { c.slices[i].Up -= share })
-	}
+// addRecords counts what the workers recorded.
+func (b *timelineBuilder) addRecords(s *Scenario, e *Evidence) {
+	downSince := map[string]float64{} // by worker
 	for _, r := range e.Records {
-		key, k := sent{r.Request, r.Attempt, r.Worker}, c.at(r.T)
-		s := &c.slices[k]
 		switch r.Event {
-		case "arrive":
-			s.Attempts++
-			arrived[key] = r.T
-		case "ran":
-			c.over(key, r.T, arrived, ran)
-			ran[key] = r.T
-			c.used[k][r.Worker] = true
-		case "turned":
-			s.Turned++
-			c.over(key, r.T, arrived, ran)
-		case "served", "silent", "stopped", "repeat":
-			c.over(key, r.T, arrived, ran)
-		case "load":
-			s.Loads++
-		case "order":
-			s.Orders++
-		case "fetch":
-			s.Fetches++
-		case "vanish":
-			down[r.Worker] = r.T
-		case "start":
-			if t, ok := down[r.Worker]; ok {
-				lessUp(t, r.T)
-				delete(down, r.Worker)
+		case emulator.EventCrashed:
+			downSince[r.Worker] = r.T
+		case emulator.EventStarted:
+			if since, ok := downSince[r.Worker]; ok {
+				b.subtractWorker(since, r.T)
+				delete(downSince, r.Worker)
 			}
+		default:
+			b.addRecord(r)
 		}
 	}
-	for _, t := range down {
-		lessUp(t, c.begin+day.Seconds.Seconds)
+	for _, since := range downSince {
+		b.subtractWorker(since, b.begin+s.Length.Seconds)
 	}
 }
 
-// over books what an attempt did since it arrived or ran.
-func (c *cutter) over(key sent, now float64, arrived, ran map[sent]float64) {
-	if t, ok := ran[key]; ok {
-		c.spread(t, now, func(i int, share float64) {
-			c.slices[i].Running += share
-			c.total[i] += share
-			if !c.wanted[key.request] {
-				c.vain[i] += share
+// subtractWorker counts a worker as down for a span of time.
+func (b *timelineBuilder) subtractWorker(from, to float64) {
+	b.spread(from, to, func(bucket *bucketBuilder, fraction float64) { bucket.WorkersUp -= fraction })
+}
+
+func (b *timelineBuilder) addRecord(r emulator.Record) {
+	id := workerAttemptID{r.Request, r.Attempt, r.Worker}
+	bucket := b.bucketAt(r.T)
+	switch r.Event {
+	case emulator.EventArrived:
+		bucket.Attempts++
+		b.arrivedAt[id] = r.T
+	case emulator.EventRunning:
+		b.endPhase(id, r.T)
+		b.startedAt[id] = r.T
+		bucket.workersUsed[r.Worker] = true
+	case emulator.EventRejected:
+		bucket.Rejected++
+		b.endPhase(id, r.T)
+	case emulator.EventServed, emulator.EventSilenced, emulator.EventStopped, emulator.EventDuplicate:
+		b.endPhase(id, r.T)
+	case emulator.EventLoadStarted:
+		bucket.Loads++
+	case emulator.EventLoadRequested:
+		bucket.LoadRequests++
+	case emulator.EventFetchStarted:
+		bucket.Fetches++
+	}
+}
+
+// endPhase counts the time for which an attempt ran, or waited if it never ran.
+func (b *timelineBuilder) endPhase(id workerAttemptID, now float64) {
+	if since, ok := b.startedAt[id]; ok {
+		b.spread(since, now, func(bucket *bucketBuilder, fraction float64) {
+			bucket.Running += fraction
+			bucket.runTime += fraction
+			if !b.wanted[id.request] {
+				bucket.wastedTime += fraction
 			}
 		})
-	} else if t, ok := arrived[key]; ok {
-		c.spread(t, now, func(i int, share float64) { c.slices[i].Waiting += share })
+	} else if since, ok := b.arrivedAt[id]; ok {
+		b.spread(since, now, func(bucket *bucketBuilder, fraction float64) { bucket.Waiting += fraction })
 	}
-	delete(ran, key)
-	delete(arrived, key)
+	delete(b.startedAt, id)
+	delete(b.arrivedAt, id)
 }
 
-// finish works out the shares of each slice.
-func (c *cutter) finish() []Slice {
-	for i := range c.slices {
-		s := &c.slices[i]
-		if s.Used = len(c.used[i]); c.asked[i] > 0 {
-			s.Service = c.got[i] / c.asked[i]
+// finish computes what depends on whole buckets.
+func (b *timelineBuilder) finish() []TimelineBucket {
+	var out []TimelineBucket
+	for i := range b.buckets {
+		bucket := &b.buckets[i]
+		bucket.WorkersUsed = len(bucket.workersUsed)
+		if bucket.valueAsked > 0 {
+			bucket.Service = bucket.valueReturned / bucket.valueAsked
 		}
-		if c.total[i] > 0 {
-			s.Vain = c.vain[i] / c.total[i]
+		if bucket.runTime > 0 {
+			bucket.Wasted = bucket.wastedTime / bucket.runTime
 		}
-		s.P50 = float64(c.hist[i].ValueAtPercentile(50)) / 1e6
-		s.P99 = float64(c.hist[i].ValueAtPercentile(99)) / 1e6
+		bucket.P50 = secondsAt(bucket.latencies, 50)
+		bucket.P99 = secondsAt(bucket.latencies, 99)
+		out = append(out, bucket.TimelineBucket)
 	}
-	return c.slices
+	return out
 }
 
-// Held is what a worker did in a day, and what it held in the end.
-type Held struct {
+// WorkerReport sums up what a worker did, and the models that it held at the end.
+type WorkerReport struct {
 	Worker string `json:"worker"`
 	Served int    `json:"served"`
 	Loads  int    `json:"loads"`
 	Models string `json:"models"`
 }
 
-// held works out what each worker held in the end.
-func held(day *Day, e *Evidence) (out []Held) {
-	at, copies := map[string]int{}, map[string]map[string]int{}
-	for i, n := range day.workerNames() {
-		out, at[n], copies[n] = append(out, Held{Worker: n}), i, map[string]int{}
+// maxListedModels is the number of models of a worker that are named.
+const maxListedModels = 12
+
+func workerReports(s *Scenario, e *Evidence) (out []WorkerReport) {
+	indexes := map[string]int{}
+	copies := map[string]map[string]int{} // by worker and model
+	for i, name := range s.workerNames() {
+		out = append(out, WorkerReport{Worker: name})
+		indexes[name] = i
+		copies[name] = map[string]int{}
 	}
 	for _, r := range e.Records {
-		h, c := &out[at[r.Worker]], copies[r.Worker]
+		report := &out[indexes[r.Worker]]
 		switch r.Event {
-		case "served":
-			h.Served++
-		case "load":
-			h.Loads++
-		case "loaded":
-			c[r.Model]++
-		case "unload":
-			c[r.Model]--
-		case "vanish":
-			clear(c)
+		case emulator.EventServed:
+			report.Served++
+		case emulator.EventLoadStarted:
+			report.Loads++
+		case emulator.EventLoaded:
+			copies[r.Worker][r.Model]++
+		case emulator.EventUnloaded:
+			copies[r.Worker][r.Model]--
+		case emulator.EventCrashed:
+			clear(copies[r.Worker])
 		}
 	}
 	for i := range out {
-		var list []string
-		for m, n := range copies[out[i].Worker] {
-			if n > 0 {
-				list = append(list, m)
-			}
-		}
-		sort.Strings(list)
-		if n := len(list); n > 12 {
-			list = append(list[:12], fmt.Sprintf("and %d more", n-12))
-		}
-		out[i].Models = strings.Join(list, ", ")
+		out[i].Models = listModels(copies[out[i].Worker])
 	}
 	return out
 }
 
-// WriteTimeline prints the slices of a day.
-func (rep *Report) WriteTimeline(out io.Writer) {
+// listModels names the models of which there are copies.
+func listModels(copies map[string]int) string {
+	var names []string
+	for name, n := range copies {
+		if n > 0 {
+			names = append(names, name)
+		}
+	}
+	sort.Strings(names)
+	if more := len(names) - maxListedModels; more > 0 {
+		names = append(names[:maxListedModels], fmt.Sprintf("and %d more", more))
+	}
+	return strings.Join(names, ", ")
+}
+
+// WriteTimeline prints the buckets of the scenario.
+func (r *Report) WriteTimeline(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "from\tservice\tasked\tin SLO\tlate\tshed\tlost\tforwards\tturned\tloads\tup\tused\trunning\twaiting\tin vain\tp50 ms\tp99 ms\t")
-	for _, s := range rep.Slices {
-		fmt.Fprintf(w, "%.1f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", s.From, s.Service, s.Asked, s.InSLO,
-			s.Late, s.Shed, s.Lost, s.Attempts, s.Turned, s.Loads, s.Up, s.Used, s.Running, s.Waiting, s.Vain, s.P50*1e3, s.P99*1e3)
+	for _, b := range r.Timeline {
+		fmt.Fprintf(w, "%.1f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.1f\t%.1f\t%.2f\t%.0f\t%.0f\t\n", b.From, b.Service, b.Asked, b.InSLO,
+			b.Late, b.Shed, b.Lost, b.Attempts, b.Rejected, b.Loads, b.WorkersUp, b.WorkersUsed, b.Running, b.Waiting, b.Wasted, b.P50*1e3, b.P99*1e3)
 	}
 	w.Flush()
 }
--- /dev/null
+++ b/internal/lab/variants.go
@@ -0,0 +1,71 @@
+package lab
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/goccy/go-yaml"
+)
+
+// Variant is the text of a scenario under a name, to be compared with others.
+type Variant struct {
+	Name string
+	Text []byte
+}
+
+// Vary returns a variant of a scenario for each combination of values. A key is a path like fleet.workers or
+// settings.groups[0].slo; values are written as YAML.
+func Vary(text []byte, keys []string, values [][]string) ([]Variant, error) {
+	variants := []Variant{{Text: text}}
+	for i, key := range keys {
+		var next []Variant
+		for _, v := range variants {
+			for _, value := range values[i] {
+				changed, err := setKey(v.Text, key, value)
+				if err != nil {
+					return nil, err
+				}
+				next = append(next, Variant{strings.TrimSpace(v.Name + " " + key + "=" + value), changed})
+			}
+		}
+		variants = next
+	}
+	return variants, nil
+}
+
+// setKey sets one key of a YAML text.
+func setKey(text []byte, key, value string) ([]byte, error) {
+	var tree, parsed any
+	if err := yaml.Unmarshal(text, &tree); err != nil {
+		return nil, err
+	}
+	if err := yaml.Unmarshal([]byte(value), &parsed); err != nil {
+		return nil, fmt.Errorf("%s: %w", key, err)
+	}
+	steps := strings.Split(strings.NewReplacer("[", ".", "]", "").Replace(key), ".")
+	node := tree
+	for i, step := range steps {
+		isLast := i == len(steps)-1
+		switch container := node.(type) {
+		case map[string]any:
+			if isLast {
+				container[step] = parsed
+			} else if container[step] == nil {
+				container[step] = map[string]any{}
+			}
+			node = container[step]
+		case []any:
+			var index int
+			if _, err := fmt.Sscanf(step, "%d", &index); err != nil || index < 0 || index >= len(container) {
+				return nil, fmt.Errorf("%s: there is no item %s", key, step)
+			}
+			if isLast {
+				container[index] = parsed
+			}
+			node = container[index]
+		default:
+			return nil, fmt.Errorf("%s: there is nothing at %s", key, step)
+		}
+	}
+	return yaml.Marshal(tree)
+}
