--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -197,7 +197,7 @@
 {{range .}}<div class="c"><h2>{{.Scenario}}</h2>
 <p>{{.Clock}}, seed {{.Seed}}{{if .Partial}}, <b class="bad">interrupted: partial</b>{{end}}: service <b>{{printf "%.3f" .Service}}</b>, found warm {{printf "%.3f" .Warm}}, {{.Served}} served,
 {{.Attempts}} attempts, {{.Rejected}} turned away, {{.LoadRequests}} load orders, {{.Loads}} loads</p>
-<table><tr><th>rule<th>verdict<th>tests</tr>{{range .Findings}}<tr><td>{{.Rule}}: {{.Name}}<td{{if .Broken}} class="bad"{{end}}>{{.Verdict}}<td>{{.Tests}}</tr>{{end}}</table>
+<table><tr><th>rule<th>verdict<th>tests</tr>{{range .Findings}}<tr><td>{{.Rule}}: {{.Name}}<td{{if eq .Verdict "BROKEN"}} class="bad"{{end}}>{{.Verdict}}<td>{{.Tests}}</tr>{{end}}</table>
 <table><tr><th>model group<th>asked<th>in SLO<th>late<th>shed<th>failed<th>left<th>p50 s<th>p99 s</tr>
 {{range .Groups}}<tr><td>{{.Name}}<td>{{.Asked}}<td>{{.InSLO}}<td>{{.Late}}<td>{{.Shed}}<td>{{.Failed}}<td>{{.ClientLeft}}<td>{{printf "%.3f" .P50}}<td>{{printf "%.3f" .P99}}</tr>{{end}}</table>
 {{range .Graphs}}{{.}}{{end}}
