--- a/internal/cli/lab_day.go
+++ b/internal/cli/lab_day.go
@@ -15,13 +15,13 @@
 	Keep      string `help:"Keep settings, logs and records in this directory."`
 	Seed      uint64 `help:"Run it with another seed."`
 	Page      string `help:"Write the report with plots as one HTML page to this file."`
-	Timeline  bool   `help:"Print what happened in each twentieth of the day."`
+	Timeline  bool   `help:"Print what happened in each twentieth of the scenario."`
 	Simulated bool   `help:"Run it in simulated time in this process: the same bytes for the same seed."`
 }
 
-// Run exits with an error if the day broke a rule.
+// Run exits with an error if the scenario broke a rule.
 func (c *labDayCmd) Run() error {
-	day, err := c.load()
+	scenario, err := c.load()
 	if err != nil {
 		return failed(err)
 	}
@@ -32,7 +32,7 @@
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	evidence, report, err := c.play(ctx, day)
+	evidence, report, err := c.play(ctx, scenario)
 	if report != nil {
 		err = errors.Join(err, c.output(evidence, report))
 	}
@@ -45,31 +45,31 @@
 	return nil
 }
 
-func (c *labDayCmd) load() (*lab.Day, error) {
+func (c *labDayCmd) load() (*lab.Scenario, error) {
 	clock := lab.Sockets
 	if c.Simulated {
 		clock = lab.Simulated
 	}
-	day, err := lab.LoadDay(c.File, clock)
+	scenario, err := lab.LoadDay(c.File, clock)
 	if err != nil {
 		return nil, err
 	}
 	if c.Seed > 0 {
-		day.Seed = c.Seed
+		scenario.Seed = c.Seed
 	}
-	return day, nil
+	return scenario, nil
 }
 
-// play runs the day. An interrupted or failed run may have a report with an error.
-func (c *labDayCmd) play(ctx context.Context, day *lab.Day) (*lab.Evidence, *lab.Report, error) {
+// play runs the scenario. An interrupted or failed run may have a report with an error.
+func (c *labDayCmd) play(ctx context.Context, scenario *lab.Scenario) (*lab.Evidence, *lab.Report, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, nil, err
 	}
 	if !c.Simulated {
-		return lab.Play(ctx, day, lab.Options{Self: []string{self}, Dir: c.Keep, Say: os.Stderr})
+		return lab.Play(ctx, scenario, lab.Options{Self: []string{self}, Dir: c.Keep, Say: os.Stderr})
 	}
-	evidence, report := lab.Simulate(ctx, day, nil, os.Stderr)
+	evidence, report := lab.Simulate(ctx, scenario, nil, os.Stderr)
 	if c.Keep != "" {
 		err = writeJSONLines(c.Keep+"/records.jsonl", evidence.Records)
 	}
@@ -96,7 +96,7 @@
 }
 
 type labDrawCmd struct {
-	Seed uint64 `required:"" help:"The same seed generates the same day."`
+	Seed uint64 `required:"" help:"The same seed generates the same scenario."`
 	Out  string `short:"o" help:"Write it to this file; default: standard output."`
 }
 
@@ -110,7 +110,7 @@
 
 type labConvertCmd struct {
 	File string `arg:"" type:"existingfile" help:"Day drawn or found by the bench (JSON)."`
-	Out  string `short:"o" help:"Write the day to this file; default: standard output."`
+	Out  string `short:"o" help:"Write the scenario to this file; default: standard output."`
 }
 
 func (c *labConvertCmd) Run() error {
--- a/internal/cli/lab_experiment.go
+++ b/internal/cli/lab_experiment.go
@@ -17,36 +17,36 @@
 	Plot  string  `help:"Write a plot of service by variant to this file (.svg or .png)."`
 }
 
-// run compares the variants and prints a row for each. After an interrupt it prints the rows so far and fails.
+// run compares the variants and prints a row for each. After an interrupt it prints the results so far and fails.
 func (f *experimentFlags) run(variants []lab.Variant) error {
 	ctx, stop := signalContext()
 	defer stop()
-	rows, runErr := lab.Experiment(ctx, variants, lab.Limits{Seeds: f.Seeds, Least: f.Least, Jobs: f.Jobs}, os.Stderr)
-	if rows == nil {
+	results, runErr := lab.Experiment(ctx, variants, lab.Limits{Seeds: f.Seeds, Least: f.Least, Jobs: f.Jobs}, os.Stderr)
+	if results == nil {
 		return failed(runErr)
 	}
-	if err := f.output(rows); err != nil {
+	if err := f.output(results); err != nil {
 		return err
 	}
 	if runErr != nil {
-		fmt.Fprintln(os.Stderr, "interrupted: the rows above are partial")
+		fmt.Fprintln(os.Stderr, "interrupted: the results above are partial")
 		return errFailed
 	}
 	return nil
 }
 
-func (f *experimentFlags) output(rows []lab.Row) error {
+func (f *experimentFlags) output(results []lab.VariantResult) error {
 	if f.JSON {
-		if err := printJSON(rows); err != nil {
+		if err := printJSON(results); err != nil {
 			return err
 		}
 	} else {
-		lab.WriteRows(os.Stdout, rows)
+		lab.WriteRows(os.Stdout, results)
 	}
 	if f.Plot == "" {
 		return nil
 	}
-	return lab.PlotRows(f.Plot, rows)
+	return lab.PlotRows(f.Plot, results)
 }
 
 type labCompareCmd struct {
