--- a/internal/emulator/fault_service.go
+++ b/internal/emulator/fault_service.go
@@ -10,7 +10,7 @@
 // faultService serves POST /fault, whose body is a Fault in JSON.
 type faultService struct{ emulator *Server }
 
-// HeadReceived implements httpconn.Service: bodies are read whole.
+// HeadReceived implements httpconn.Service: bodies are buffered.
 func (fs *faultService) HeadReceived(*httpconn.Exchange) bool { return false }
 
 // RequestRefused implements httpconn.Service.
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -246,7 +246,7 @@
 	f.log(w, EventStopped, r)
 }
 
-// stopRunning takes a request off those that run; the caller sets its outcome.
+// stopRunning removes a request from those that run; the caller sets its outcome.
 func (f *Fleet) stopRunning(r *Request) {
 	w := r.worker
 	if i := slices.Index(w.running, r); i >= 0 {
--- a/internal/emulator/schedule.go
+++ b/internal/emulator/schedule.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// currentStoreSlowdown computes how many times longer than alone a fetch takes now.
+// currentStoreSlowdown computes the present duration of a fetch as a multiple of that of a single one.
 func (f *Fleet) currentStoreSlowdown() float64 {
 	slowdown := 1.0
 	if slots := f.spec.Store.Slots; slots > 0 && f.fetching > slots {
--- a/internal/emulator/worker_service.go
+++ b/internal/emulator/worker_service.go
@@ -39,7 +39,7 @@
 	return err
 }
 
-// HeadReceived implements httpconn.Service: bodies are read whole.
+// HeadReceived implements httpconn.Service: bodies are buffered.
 func (wl *workerListener) HeadReceived(*httpconn.Exchange) bool { return false }
 
 // RequestRefused implements httpconn.Service.
--- a/internal/lab/client_conn.go
+++ b/internal/lab/client_conn.go
@@ -165,7 +165,7 @@
 	return request + "\r\n" + inferenceBody
 }
 
-// exchange sends a request and reads the response whole. The attempt gets what the response's head holds, even if its body
+// exchange sends a request and reads the complete response. The attempt gets what the response's head holds, even if its body
 // is truncated.
 func (c *clientConn) exchange(request string, a *ClientAttempt) (*http.Response, error) {
 	if _, err := io.WriteString(c.net, request); err != nil {
--- a/internal/lab/dispatcher_process.go
+++ b/internal/lab/dispatcher_process.go
@@ -75,7 +75,7 @@
 	return d.awaitReady()
 }
 
-// copyLog copies the process's log to the log file. The channel gets the line that tells its addresses.
+// copyLog copies the process's log to the log file. The channel receives the line that holds its addresses.
 func (d *dispatcherProcess) copyLog(log io.Reader) <-chan servingLine {
 	serving := make(chan servingLine, 1)
 	go func() {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -193,7 +193,7 @@
 	return factor
 }
 
-// withoutFaults returns the scenario with the same load and nothing that goes wrong.
+// withoutFaults returns the scenario with the same load and without faults.
 func (s *Scenario) withoutFaults() *Scenario {
 	calm := *s
 	calm.Faults = nil
--- a/internal/lab/scenario_expand.go
+++ b/internal/lab/scenario_expand.go
@@ -140,7 +140,7 @@
 // zipfWeight is the weight of the model of a rank, from 0.
 func zipfWeight(rank int, exponent float64) float64 { return math.Pow(float64(rank+1), -exponent) }
 
-// FaultSpan is a span of a scenario in which something went wrong, shaded in plots.
+// FaultSpan is the span of an incident of a scenario, shaded in plots.
 type FaultSpan struct {
 	From        float64 `json:"from"`
 	To          float64 `json:"to"`
@@ -150,7 +150,7 @@
 // minShadedSpan is the least duration that is visible in plots.
 const minShadedSpan = 0.1 // s
 
-// faultSpans lists what goes wrong in a scenario. A release is one span, not the steps that it was expanded into.
+// faultSpans lists the incidents of a scenario. A release is one span, not the steps that it was expanded into.
 func (s *Scenario) faultSpans() (out []FaultSpan) {
 	add := func(at, duration float64, description string) {
 		out = append(out, FaultSpan{at, math.Min(s.Length.Seconds, at+math.Max(duration, minShadedSpan)), description})
--- a/internal/lab/sim_actions.go
+++ b/internal/lab/sim_actions.go
@@ -154,7 +154,7 @@
 // Log implements control.Actions.
 func (d *simDispatcher) Log(string) {}
 
-// observeWorker records the start that a worker's response tells.
+// observeWorker records the start time that a worker's response carries.
 func (d *simDispatcher) observeWorker(worker int, response *workerResponse) {
 	if response.startedAt <= 0 || d.module == nil {
 		return
--- a/internal/lab/sim_dispatcher.go
+++ b/internal/lab/sim_dispatcher.go
@@ -208,7 +208,7 @@
 	return out
 }
 
-// sendWorkerList passes the whole worker list to the decisions.
+// sendWorkerList passes the complete worker list to the decisions.
 func (d *simDispatcher) sendWorkerList(kind control.WorkerListKind) {
 	d.module.UpdateWorkers(kind, d.members.Version, advertised(d.members.All()))
 }
@@ -243,7 +243,7 @@
 	}
 }
 
-// probe asks a worker for its start and load.
+// probe requests a worker's start time and load report.
 func (d *simDispatcher) probe(worker int, done func(*workerResponse)) {
 	s := d.sim
 	incarnation := d.incarnation
@@ -286,7 +286,7 @@
 	}
 }
 
-// accept takes a request, or rejects it and returns nil if there are too many.
+// accept registers a request and passes it to the decisions. It rejects the request and returns nil if there are too many.
 func (d *simDispatcher) accept(a *ClientAttempt, c *logicalCall, respond func(simResponse)) *simRequest {
 	s := d.sim
 	m := s.model(a.Model)
--- a/internal/lab/sim_workers.go
+++ b/internal/lab/sim_workers.go
@@ -14,7 +14,7 @@
 // slowConnectDelay is the time by which the slow_connect fault delays a request.
 const slowConnectDelay = 0.2 // s
 
-// workerResponse is what a dispatcher learns from a worker's response, or from the lack of one.
+// workerResponse is the content of a worker's response, or the result of a failed connection.
 type workerResponse struct {
 	result            control.Result
 	modelState        control.ModelState
@@ -108,7 +108,7 @@
 	}
 }
 
-// newWorkerResponse returns what every response of a worker tells: its start and its load report.
+// newWorkerResponse returns what every response of a worker carries: its start time and its load report.
 func (s *simulation) newWorkerResponse(worker int) *workerResponse {
 	return &workerResponse{result: control.Succeeded, sameModelInFlight: noOthersReported, startedAt: simEpoch + s.fleet.StartTime(worker),
 		loadReport: s.loadReport(worker)}
--- a/internal/soak/connection.go
+++ b/internal/soak/connection.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// register takes a request in flight. It returns false if the connection takes none any more.
+// register adds a request to those in flight. It returns false if the connection accepts no more requests.
 func (cc *clientConn) register(req *request) (seq int32, isNew, ok bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -117,7 +117,7 @@
 	return cc.seq, !cc.answered, true
 }
 
-// usable reports whether the connection takes requests, and how many are in flight.
+// usable reports whether the connection accepts requests, and how many are in flight.
 func (cc *clientConn) usable() (usable bool, inFlight int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -71,8 +71,8 @@
 		logFile:    filepath.Join(run.dir, fmt.Sprintf("d%d.log", index))}, nil
 }
 
-// reservePort binds a socket to a free port without listening. The kernel then gives the port only to who asks for its
-// number, so neither another run nor an outgoing connection takes it while no dispatcher listens.
+// reservePort binds a socket to a free port without listening. The kernel then assigns the port only to a socket that
+// binds to its number, so neither another run nor an outgoing connection uses it while no dispatcher listens.
 func reservePort() (fd int, address string, err error) {
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/soak/worker_conn.go
+++ b/internal/soak/worker_conn.go
@@ -78,7 +78,7 @@
 	in     *timestampedConn
 	reader *bufio.Reader
 
-	writeMu sync.Mutex // held for a whole message
+	writeMu sync.Mutex // held while one message is written
 }
 
 func (wc *workerConn) serve() {
