--- a/internal/platform/alloc_test.go
+++ b/internal/platform/alloc_test.go
@@ -12,7 +12,7 @@
 // TestOrdinaryPathAllocatesNothing runs requests through client, dispatcher and worker, and reads the allocator's count.
 // The client and the worker of this test work on buffers of their own.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	if raceOn {
+	if raceEnabled {
 		t.Skip("the race detector allocates")
 	}
 	const warm, total = 2000, 12000
@@ -30,11 +30,11 @@
 			go answerAll(c)
 		}
 	}()
-	w := &scripted{id: "w1", ln: ln}
-	r := newRig(t, "load", w)
+	w := &fakeWorker{id: "w1", listener: ln}
+	r := newHarness(t, "load", w)
 	c := r.dial()
 	defer c.Close()
-	b := request(1, "read", "in")
+	b := requestFrame(1, "read", "in")
 	at := bytes.Index(b, []byte("dispatch")) + len("dispatch")
 	id := bytes.Index(b, []byte("trace")) + len("trace") + 4
 	in := make([]byte, 4096)
--- /dev/null
+++ b/internal/platform/change_log.go
@@ -0,0 +1,206 @@
+package platform
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+	"slices"
+	"strconv"
+
+	"mastchute/control"
+	"mastchute/internal/membership"
+)
+
+// changeLogLag is how long, in s, a worker may have been up before the change log has its start.
+const changeLogLag = 2.0
+
+// WatchResponse is the change log's response to a poll.
+type WatchResponse struct {
+	Seq    int64             `json:"seq"`     // of the latest event in the log
+	Events []json.RawMessage `json:"results"` // each a WatchEvent, decoded on its own so that a malformed one spares the others
+}
+
+// WatchEvent is one event of the change log. Events about other things than workers have only a number.
+type WatchEvent struct {
+	Seq   int64             `json:"seq"`
+	Fleet *WorkerListUpdate `json:"fleet"`
+}
+
+// WorkerListUpdate is the part of an event that is about workers. If it is complete, workers it does not have are gone.
+type WorkerListUpdate struct {
+	Complete bool              `json:"complete"`
+	Members  []json.RawMessage `json:"members"` // each a Member, decoded on its own so that a malformed one spares the others
+}
+
+// Member is one worker in the change log.
+type Member struct {
+	ID        string  `json:"id"`
+	HostPort  string  `json:"host_port"`
+	Locality  string  `json:"locality"`
+	Flavor    string  `json:"flavor"`
+	Cell      int64   `json:"cell"`
+	Phase     string  `json:"phase"`
+	Size      float64 `json:"size"`
+	UpSinceMS float64 `json:"up_since_ms"` // Unix time in ms; 0 for a worker that has been up for long
+}
+
+// workerStates maps the phases of members.
+var workerStates = map[string]control.WorkerState{"active": control.Ready, "leaving": control.Draining, "left": control.Gone}
+
+var errInvalidMember = errors.New("worker without an id or in an unknown phase")
+
+// A missingEventError reports that the change log skipped a number.
+type missingEventError struct{ seq int64 }
+
+func (e *missingEventError) Error() string {
+	return fmt.Sprintf("event %d of the change log is missing", e.seq)
+}
+
+// entry converts a member to an entry of the worker list. A start before notBefore would have been in the log already, so
+// the worker started later, whatever the wall clocks say.
+func (m *Member) entry(wall membership.WallClock, now, notBefore float64) (membership.Entry, error) {
+	state, ok := workerStates[m.Phase]
+	if !ok || m.ID == "" {
+		return membership.Entry{}, errInvalidMember
+	}
+	entry := membership.Entry{
+		Name:           m.ID,
+		Zone:           m.Locality,
+		Kind:           m.Flavor,
+		Cell:           strconv.FormatInt(m.Cell, 10),
+		Weight:         m.Size,
+		State:          state,
+		StartProvided:  true,
+		StartedAt:      math.Inf(-1),
+		StartNotBefore: notBefore,
+	}
+	if m.UpSinceMS > 0 {
+		entry.Epoch = m.UpSinceMS / 1e3
+		entry.StartedAt = wall.ToMonotonic(entry.Epoch, now)
+	}
+	var err error
+	entry.Addr, err = netip.ParseAddrPort(m.HostPort)
+	if err != nil && state != control.Gone {
+		return entry, fmt.Errorf("address of worker %s: %w", m.ID, err)
+	}
+	return entry, nil
+}
+
+// applyResponse applies the events that are newer than the last one, in order and each once. What is malformed in one of
+// them is counted, logged and left out: the log would send it again each time. If a number is missing, the first call
+// returns an error, so that the log is polled again from there; the second call skips the number.
+func (w *watchClient) applyResponse(response *WatchResponse) error {
+	events := w.decodeEvents(response.Events)
+	slices.SortStableFunc(events, func(a, b WatchEvent) int { return cmp.Compare(a.Seq, b.Seq) })
+	for i := range events {
+		event := &events[i]
+		if event.Seq <= w.lastSeq {
+			continue
+		}
+		complete := event.Fleet != nil && event.Fleet.Complete // replaces what the missing events said
+		err := w.checkGap(event.Seq-1, complete || w.lastSeq == 0)
+		if err != nil {
+			return err
+		}
+		if event.Fleet != nil {
+			w.applyUpdate(event.Fleet)
+		}
+		w.lastSeq = event.Seq
+	}
+	return w.checkGap(response.Seq, false)
+}
+
+// decodeEvents decodes events. A malformed one is recorded as skipped; if it has a number at least, it is kept as an event
+// without workers, so that its number is not missing.
+func (w *watchClient) decodeEvents(texts []json.RawMessage) []WatchEvent {
+	var events []WatchEvent
+	for _, text := range texts {
+		var event WatchEvent
+		err := json.Unmarshal(text, &event)
+		if err != nil {
+			var numbered struct{ Seq int64 }
+			if json.Unmarshal(text, &numbered) != nil {
+				w.recordSkipped(reasonChangeLogEvent, err)
+				continue
+			}
+			event = WatchEvent{Seq: numbered.Seq}
+			if event.Seq > w.lastSeq {
+				w.recordSkipped(reasonChangeLogEvent, err)
+			}
+		}
+		events = append(events, event)
+	}
+	return events
+}
+
+// checkGap is called before events after number seq are applied. Events up to there that have not been applied are an error
+// the first time, and skipped the second time or if that is allowed.
+func (w *watchClient) checkGap(seq int64, skippable bool) error {
+	if seq <= w.lastSeq {
+		return nil
+	}
+	firstMissing := w.lastSeq + 1
+	if !skippable && w.missingSeq != firstMissing {
+		w.missingSeq = firstMissing
+		return &missingEventError{seq: firstMissing}
+	}
+	w.lastSeq = seq
+	return nil
+}
+
+// applyUpdate passes the workers of one event to the worker list.
+func (w *watchClient) applyUpdate(update *WorkerListUpdate) {
+	var entries []membership.Entry
+	indexes := map[string]int{} // in entries, by name: the last of several entries for a worker counts
+	wall := w.gateway.WallClock()
+	for _, text := range update.Members {
+		entry, ok := w.decodeMember(text, wall)
+		if !ok {
+			continue
+		}
+		if i, found := indexes[entry.Name]; found {
+			entries[i] = entry
+			continue
+		}
+		indexes[entry.Name] = len(entries)
+		entries = append(entries, entry)
+	}
+	apply := w.gateway.UpdateWorkers
+	if update.Complete {
+		apply = w.gateway.ReplaceWorkers
+	}
+	err := apply(membership.SourceChangeLog, entries)
+	if err != nil {
+		w.recordSkipped(reasonChangeLogEvent, err)
+	}
+}
+
+// decodeMember decodes one worker of an event. A malformed one is recorded as skipped; if it names a listed worker, that
+// worker's present entry is returned, so that a complete update does not remove it.
+func (w *watchClient) decodeMember(text json.RawMessage, wall membership.WallClock) (entry membership.Entry, ok bool) {
+	var member Member
+	err := json.Unmarshal(text, &member)
+	if err == nil {
+		entry, err = member.entry(wall, w.loop.Now(), w.lastGoodPoll-changeLogLag)
+	}
+	if err == nil {
+		return entry, true
+	}
+	w.recordSkipped(reasonChangeLogEntry, err)
+	var named struct{ ID string }
+	_ = json.Unmarshal(text, &named) // without a name nothing is found
+	listed := w.gateway.Members.ByName(named.ID)
+	if listed == nil || !listed.Listed {
+		return membership.Entry{}, false
+	}
+	return listed.Entry, true
+}
+
+// recordSkipped counts and logs what was left out of the change log; the rest of it has been applied.
+func (w *watchClient) recordSkipped(reason string, err error) {
+	w.countFailure(reason)
+	w.gateway.WorkerEntrySkipped(err)
+}
--- /dev/null
+++ b/internal/platform/client_request.go
@@ -0,0 +1,102 @@
+package platform
+
+import (
+	"math"
+
+	"mastchute/control"
+	"mastchute/internal/gateway"
+	"mastchute/internal/thrift"
+)
+
+const (
+	maxPooledBody     = 4 << 10 // bytes of body capacity beyond which a record is not pooled
+	maxPooledRequests = 256     // records pooled for the next requests
+)
+
+// requestID identifies a request to its client, its worker and its trace: 16 hex digits, chosen by the client.
+type requestID [16]byte
+
+// clientRequest is one request as its client sent it. It implements gateway.ResponseWriter. Records are pooled: one belongs
+// to its connection from acceptRequest until release, and its slices are reused afterwards.
+type clientRequest struct {
+	conn           *clientConn
+	request        *gateway.Request
+	next           *clientRequest // on the same connection
+	seqID          int32          // Thrift sequence id, which the response repeats
+	id             requestID
+	group          []byte
+	idempotencyKey []byte // empty if the client sent none
+	body           []byte
+}
+
+// parseModelID parses the 16 lower-case hex digits of a model's name.
+func parseModelID(name []byte) control.ModelID {
+	id := uint64(0)
+	for _, char := range name {
+		digit := uint64(char - '0')
+		if char >= 'a' {
+			digit = uint64(char-'a') + 10
+		}
+		id = id<<4 | digit
+	}
+	return control.ModelID(id)
+}
+
+// retryAfterMillis converts a Retry-After in seconds to milliseconds. It returns 0, which is not sent, if the settings do
+// not let clients have one.
+func (t *clientTransport) retryAfterMillis(retryAfter float64) int64 {
+	if !t.sendRetryAfter {
+		return 0
+	}
+	return int64(math.Ceil(retryAfter * 1e3))
+}
+
+// newRequest returns a record, a pooled one if there is any. Its slices have the content of their former use.
+func (t *clientTransport) newRequest() *clientRequest {
+	last := len(t.freeRequests) - 1
+	if last < 0 {
+		return &clientRequest{}
+	}
+	request := t.freeRequests[last]
+	t.freeRequests = t.freeRequests[:last]
+	return request
+}
+
+// recycle puts a record that is no longer in use into the pool.
+func (t *clientTransport) recycle(request *clientRequest) {
+	if len(t.freeRequests) < maxPooledRequests && cap(request.body) <= maxPooledBody {
+		t.freeRequests = append(t.freeRequests, request)
+	}
+}
+
+// release ends the record of a request that has been answered or whose client does not want an answer.
+func (r *clientRequest) release() {
+	conn := r.conn
+	transport := conn.transport
+	conn.removeRequest(r)
+	delete(transport.inFlight, r.id)
+	transport.bodyBytes -= int64(len(r.body))
+	r.conn = nil
+	r.request = nil
+	transport.recycle(r)
+	conn.onRequestReleased()
+	transport.startDrainTimer()
+}
+
+// WriteResponse implements gateway.ResponseWriter.
+func (r *clientRequest) WriteResponse(_ *gateway.Request, attempt *gateway.Attempt) {
+	r.conn.write(thrift.AppendReturned(r.conn.scratch(), r.seqID, attempt.ResponseBody))
+	r.release()
+}
+
+// WriteShed implements gateway.ResponseWriter.
+func (r *clientRequest) WriteShed(_ *gateway.Request, retryAfter float64) {
+	r.conn.write(thrift.AppendShed(r.conn.scratch(), r.seqID, r.conn.transport.retryAfterMillis(retryAfter)))
+	r.release()
+}
+
+// WriteFailure implements gateway.ResponseWriter.
+func (r *clientRequest) WriteFailure(_ *gateway.Request, _ bool, why string) {
+	r.conn.write(thrift.AppendFailed(r.conn.scratch(), r.seqID, why))
+	r.release()
+}
--- /dev/null
+++ b/internal/platform/client_transport.go
@@ -0,0 +1,152 @@
+package platform
+
+import (
+	"net/netip"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+)
+
+// drainQuietPeriod is how long, in s, nothing must have arrived before idle connections are closed while draining: clients
+// send a request that crossed with the close again for 50 ms only.
+const drainQuietPeriod = 0.06
+
+// clientTransport accepts the clients' connections, and makes the transports to workers. It implements
+// gateway.ClientTransport. All of it is used on the loop's goroutine only.
+type clientTransport struct {
+	gateway  *gateway.Gateway
+	loop     *eventloop.Loop
+	listener *eventloop.Listener
+	workers  workerPool
+
+	groups         map[string]int // index of a model group by its name
+	deduped        []bool         // by model group: requests need an idempotency key
+	tenants        map[string]int // index of a tenant by its name
+	sendRetryAfter bool           // clients may be sent a Retry-After
+
+	maxConns     int
+	maxInFlight  int
+	maxBodyBytes int64
+
+	connRing     clientConn // head of the ring of connections: next is the one whose last message is oldest
+	connCount    int
+	inFlight     map[requestID]*clientRequest
+	bodyBytes    int64            // of the requests in flight
+	freeRequests []*clientRequest // pooled records
+	scratch      []byte           // buffer in which messages are composed
+
+	draining   bool            // the listener accepts no more connections than those in its backlog
+	drainTimer eventloop.Timer // runs while draining and idle; started anew by each arrival
+	stopping   bool            // shutdown has begun: health checks of clients are answered with false
+	sendsHeld  func() bool     // reports whether nothing may be sent to workers for the moment
+	dropCounts map[string]int  // by reason
+}
+
+// newClientTransport starts listening by the configuration. sendsHeld is to be set before the loop runs.
+func newClientTransport(g *gateway.Gateway, f *File) (*clientTransport, error) {
+	t := &clientTransport{
+		gateway:    g,
+		loop:       g.Loop,
+		groups:     map[string]int{},
+		tenants:    map[string]int{},
+		inFlight:   map[requestID]*clientRequest{},
+		dropCounts: map[string]int{},
+	}
+	c := f.host()
+	for i, group := range c.Groups {
+		t.groups[group.Name] = i
+		t.deduped = append(t.deduped, group.Effect == "deduped")
+	}
+	for i, tenant := range c.Tenants {
+		t.tenants[tenant.Name] = i
+	}
+	t.sendRetryAfter = f.set.Is("limits.retry_after")
+	t.maxInFlight = c.Limits.Requests
+	t.maxBodyBytes = int64(f.Limits.MemoryMB * (1 << 20) * bodyMemoryFraction)
+	t.maxConns = max(8, f.Limits.Sockets/clientDescriptorDivisor)
+	t.connRing.prev = &t.connRing
+	t.connRing.next = &t.connRing
+	t.drainTimer.Fire = t.closeDrained
+	t.workers.init(t, f)
+	var err error
+	t.listener, err = t.loop.Listen(f.listen, t.accept)
+	if err != nil {
+		return nil, err
+	}
+	t.listener.Room = t.hasCapacity
+	t.loop.OnDescriptorShortage = t.freeDescriptor
+	return t, nil
+}
+
+// NewWorkerTransport implements gateway.ClientTransport.
+func (t *clientTransport) NewWorkerTransport(worker *gateway.Worker) gateway.WorkerTransport {
+	return newWorkerTransport(&t.workers, worker)
+}
+
+// Addr returns the address that the transport listens on.
+func (t *clientTransport) Addr() netip.AddrPort { return t.listener.Addr() }
+
+// ConnectionCount implements gateway.ClientTransport. While the listener is draining it counts one more, for the
+// connections that may be waiting in the backlog.
+func (t *clientTransport) ConnectionCount() int {
+	if t.listener.Draining() {
+		return t.connCount + 1
+	}
+	return t.connCount
+}
+
+// BufferedBytes implements gateway.ClientTransport.
+func (t *clientTransport) BufferedBytes() int64 { return t.bodyBytes }
+
+// countDrop counts a rejected message, a closed connection or a failure by its reason.
+func (t *clientTransport) countDrop(reason string) { t.dropCounts[reason]++ }
+
+// isAlive reports whether clients should send requests to this dispatcher.
+func (t *clientTransport) isAlive() bool {
+	return t.gateway.Ready() && t.gateway.Serving() && !t.stopping
+}
+
+// canAccept reports whether there is capacity for one more request with a body of some bytes.
+func (t *clientTransport) canAccept(bodyLen int) bool {
+	return t.gateway.Serving() && t.gateway.InFlight() < t.maxInFlight && t.bodyBytes+int64(bodyLen) <= t.maxBodyBytes
+}
+
+// accept makes the handler of a new connection.
+func (t *clientTransport) accept(conn *eventloop.Conn) eventloop.Handler {
+	c := &clientConn{transport: t, conn: conn, acceptedAt: t.loop.Now()}
+	c.timer.Fire = c.timerExpired
+	t.connCount++
+	c.linkNewest()
+	t.loop.Start(&c.timer, firstMessageTimeout)
+	return c
+}
+
+// Drain implements gateway.ClientTransport. Everything that clients still send is answered, so connections stay open until
+// nothing has been in flight and nothing has arrived for drainQuietPeriod.
+func (t *clientTransport) Drain() {
+	t.draining = true
+	t.listener.Drain()
+	t.startDrainTimer()
+}
+
+// startDrainTimer starts the quiet period anew if the transport is draining and nothing is in flight.
+func (t *clientTransport) startDrainTimer() {
+	if t.draining && len(t.inFlight) == 0 {
+		t.loop.Start(&t.drainTimer, drainQuietPeriod)
+	}
+}
+
+// closeDrained closes the idle connections at the end of the quiet period. Bytes still unread in the kernel are handled
+// first, and a connection with a partial message stays open until its timeout.
+func (t *clientTransport) closeDrained() {
+	var conns []*clientConn
+	for c := t.connRing.next; c != &t.connRing; c = c.next {
+		conns = append(conns, c)
+	}
+	for _, c := range conns {
+		c.conn.ReadNow()
+		if c.requestCount == 0 && !c.partialMessage {
+			c.close(reasonDrained)
+		}
+	}
+}
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -10,8 +10,8 @@
 	"mastchute/internal/syscalls/faults"
 )
 
-// stepped is a wall clock that a test steps.
-func stepped(t *testing.T) *atomic.Int64 {
+// newSteppedClock is a wall clock that a test steps.
+func newSteppedClock(t *testing.T) *atomic.Int64 {
 	var by atomic.Int64
 	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Offset: func() time.Duration { return time.Duration(by.Load()) }}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
@@ -25,14 +25,14 @@
 		for _, ours := range []time.Duration{0, time.Hour, -time.Hour, 4 * time.Second, -4 * time.Second} {
 			for _, theirs := range []time.Duration{0, time.Hour, -time.Hour, 4 * time.Second} {
 				t.Run(fmt.Sprintf("%s, ours %v, theirs %v", was, ours, theirs), func(t *testing.T) {
-					by := stepped(t)
-					w := newWorker(t, "w1", fine)
-					r := newRig(t, "load")
+					by := newSteppedClock(t)
+					w := newFakeWorker(t, "w1", respondServed)
+					r := newHarness(t, "load")
 					told := 1
 					tell := func(up int64) {
-						r.log.add(false, w.member("active", up))
+						r.changeLog.publish(false, w.memberJSON("active", up))
 						told++
-						r.until("it is heard", func() bool { return r.d.feed.last == int64(told) })
+						r.waitFor("it is heard", func() bool { return r.dispatcher.watch.lastSeq == int64(told) })
 					}
 					switch was {
 					case "started":
@@ -42,8 +42,8 @@
 					}
 					by.Store(int64(ours))
 					tell(time.Now().Add(theirs).UnixMilli())
-					r.on(func() {
-						if age := r.d.Loop.Now() - r.d.Gateway.Members.ByName("w1").Advertised().StartedAt; age < 0 || age > 3.5 {
+					r.onLoop(func() {
+						if age := r.dispatcher.Loop.Now() - r.dispatcher.Gateway.Members.ByName("w1").Advertised().StartedAt; age < 0 || age > 3.5 {
 							t.Errorf("a start of now is %g s old", age)
 						}
 					})
@@ -55,23 +55,23 @@
 
 // The same start told again is no other, also after a step of the wall clock, and one heard of before is no news.
 func TestSameStartUnderSteppedClocks(t *testing.T) {
-	by := stepped(t)
-	w := newWorker(t, "w1", fine)
-	r := newRig(t, "load")
+	by := newSteppedClock(t)
+	w := newFakeWorker(t, "w1", respondServed)
+	r := newHarness(t, "load")
 	first := time.Now().UnixMilli()
 	second := first + 40
-	r.log.add(false, w.member("active", first))
-	r.log.add(false, w.member("active", second))
-	r.until("both are heard", func() bool { return r.d.feed.last == 3 })
+	r.changeLog.publish(false, w.memberJSON("active", first))
+	r.changeLog.publish(false, w.memberJSON("active", second))
+	r.waitFor("both are heard", func() bool { return r.dispatcher.watch.lastSeq == 3 })
 	var start float64
-	r.on(func() { start = r.d.Gateway.Members.ByName("w1").Advertised().StartedAt })
+	r.onLoop(func() { start = r.dispatcher.Gateway.Members.ByName("w1").Advertised().StartedAt })
 	by.Store(int64(time.Hour))
-	r.log.add(false, w.member("leaving", second))
-	r.log.add(false, w.member("active", second))
-	r.log.add(false, w.member("active", first))
-	r.until("all are heard", func() bool { return r.d.feed.last == 6 })
-	r.on(func() {
-		if s := r.d.Gateway.Members.ByName("w1").Advertised().StartedAt; s != start {
+	r.changeLog.publish(false, w.memberJSON("leaving", second))
+	r.changeLog.publish(false, w.memberJSON("active", second))
+	r.changeLog.publish(false, w.memberJSON("active", first))
+	r.waitFor("all are heard", func() bool { return r.dispatcher.watch.lastSeq == 6 })
+	r.onLoop(func() {
+		if s := r.dispatcher.Gateway.Members.ByName("w1").Advertised().StartedAt; s != start {
 			t.Errorf("the start moved from %g to %g", start, s)
 		}
 	})
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,6 +1,9 @@
-// Package platform runs a dispatcher on the operators' platform: its clients, its connections to workers, the change log,
-// the configuration file and the signals. It is one more way in and out of the host in internal/gateway, on the project's
-// own loop, and decides nothing about requests.
+// Package platform runs a dispatcher on the operators' platform: it implements the transports that internal/gateway
+// defines with the platform's protocols, on the project's event loop. Clients connect by framed Thrift, workers are
+// connected by a line protocol, the worker list comes from the platform's change log by HTTP long polls, and
+// configuration and signals are the platform's. The package makes no decision about where a request is sent.
+//
+// All state belongs to the loop's goroutine, except for what Run reads before the loop runs and while it handles signals.
 package platform
 
 import (
@@ -20,23 +23,23 @@
 )
 
 const (
-	configMost      = 4 << 20 // bytes of the configuration file that are read
-	reserved        = 24      // descriptors kept for the listener, the change log, logs, the loop and the runtime
-	reservedWorkers = 8       // of them, for first connections to workers
-	reservedClients = 3       // of them, for clients' connections that linger for their last answer
-	clientParts     = 2       // clients get one part in so many of the descriptors: one in three is the platform's promise
-	heapShare       = 0.55    // of the memory limit that Go may fill before it collects all the time; the rest is the program
-	bodyShare       = 0.25    // of the memory limit that bodies in flight may take
-	eachInHand      = 6 << 10 // bytes that a request in flight takes beside its body
-	handShare       = 0.15    // of the memory limit that requests in flight may take so
-	eachModel       = 1 << 10 // bytes that a model in use takes, here and in the decisions
-	modelShare      = 0.1     // of the memory limit that models may take
-	mostOf          = 1e9     // a larger number in the settings is a mistake
-	openUsual       = 20000   // requests in flight where the settings tell nothing
-	streamsUsual    = 32      // attempts on a connection where the settings tell nothing
+	maxConfigBytes          = 4 << 20 // bytes; a larger configuration file is refused unread
+	reserved                = 24      // descriptors kept for the listener, the change log, logs, the loop and the runtime
+	reservedForWorkers      = 8       // descriptors of the reserve that first connections to workers may use
+	reservedForClients      = 3       // descriptors of the reserve for client connections that linger for their last response
+	clientDescriptorDivisor = 2       // clients get 1/2 of the descriptors: one in three is the platform's promise
+	heapLimitFraction       = 0.55    // of the memory limit, beyond which Go collects all the time; the rest is outside the heap
+	bodyMemoryFraction      = 0.25    // of the memory limit, for request bodies in flight
+	eachInHand              = 6 << 10 // bytes that a request in flight takes beside its body
+	handShare               = 0.15    // of the memory limit, for requests in flight without their bodies
+	bytesPerModel           = 1 << 10 // bytes that a model in use takes, here and in the decisions
+	modelMemoryFraction     = 0.1     // of the memory limit, for models
+	mostOf                  = 1e9     // a larger number in the settings is a mistake
+	openUsual               = 20000   // requests in flight where the settings have no limit
+	streamsUsual            = 32      // attempts on a connection where the settings have no limit
 )
 
-// File is the configuration that the platform hands to a dispatcher.
+// File is the configuration file that the platform writes for a dispatcher.
 type File struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -47,7 +50,7 @@
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	ChangeLog string          `json:"changelog"`
-	Known     Changes         `json:"known"`
+	Known     WatchResponse   `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 
 	listen, changeLog netip.AddrPort
@@ -55,10 +58,10 @@
 	set               control.Settings
 }
 
-// ReadFile reads and checks the configuration.
+// ReadFile reads and checks the configuration file at path.
 func ReadFile(path string) (*File, error) {
-	if info, err := os.Stat(path); err == nil && info.Size() > configMost {
-		return nil, fmt.Errorf("%s has %d bytes; %d at most are read", path, info.Size(), configMost)
+	if info, err := os.Stat(path); err == nil && info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("%s has %d bytes; %d at most are read", path, info.Size(), maxConfigBytes)
 	}
 	text, err := syscalls.Default.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/internal/platform/dispatcher.go
@@ -0,0 +1,133 @@
+package platform
+
+import (
+	"github.com/rs/zerolog"
+
+	"mastchute/control"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+	"mastchute/internal/lifecycle"
+	"mastchute/internal/membership"
+)
+
+// dropLogInterval is how often, in s, the counts of what was dropped are logged if they have changed.
+const dropLogInterval = 5.0
+
+// stopTimes are the platform's: it kills a process that has not ended by then after SIGTERM.
+var stopTimes = lifecycle.StopTimes{ClientArrivalSpan: 0.6, MaxServeSpan: 0.75, MaxDeadline: 3, KillDelay: 0.7, KillMargin: 0.15}
+
+// Dispatcher is a dispatcher on the platform. Its methods are to be called on the loop's goroutine.
+type Dispatcher struct {
+	Gateway *gateway.Gateway
+	Loop    *eventloop.Loop
+
+	clients      *clientTransport
+	watch        *watchClient
+	logger       zerolog.Logger
+	config       *File   // in force since the start, except for the change log's address
+	maxTimeout   float64 // s, the longest of the model groups'
+	stopBy       float64 // on the loop's clock: when all must be answered, once shutdown has begun
+	stopTimer    eventloop.Timer
+	dropLogTimer eventloop.Timer
+	loggedDrops  map[string]int // by reason, as last logged
+	loopDone     chan error     // receives the loop's result when it has ended
+}
+
+// New returns a dispatcher for a configuration, which listens already. It serves once its loop runs. When New fails, all
+// that was opened is closed.
+func New(f *File, log zerolog.Logger) (*Dispatcher, error) {
+	loop, err := eventloop.New(0)
+	if err != nil {
+		return nil, err
+	}
+	d := &Dispatcher{
+		Loop:        loop,
+		logger:      log,
+		config:      f,
+		maxTimeout:  f.timeout(),
+		loggedDrops: map[string]int{},
+		loopDone:    make(chan error, 1),
+	}
+	err = d.newGateway()
+	if err != nil {
+		loop.Close()
+		return nil, err
+	}
+	d.watch = newWatchClient(d.Gateway, f.set.Num("rules.drain_grace", 0), d.clients.countDrop, d.clients.workers.resumeSends)
+	d.clients.sendsHeld = func() bool { return d.watch.sendsHeld }
+	d.stopTimer.Fire = func() { d.Gateway.Stop(d.stopBy - loop.Now()) }
+	d.dropLogTimer.Fire = d.logDrops
+	loop.Defer(func() { d.watchChangeLog(f) })
+	loop.Defer(func() { loop.Start(&d.dropLogTimer, dropLogInterval) })
+	return d, nil
+}
+
+// newGateway makes the gateway with the platform's client transport.
+func (d *Dispatcher) newGateway() error {
+	f := d.config
+	o := gateway.Options{Config: f.host(), Settings: f.set, Seed: f.seed, Source: membership.SourceChangeLog,
+		MaxModels: int(f.Limits.MemoryMB * (1 << 20) * modelMemoryFraction / bytesPerModel)}
+	o.NewClientTransport = func(g *gateway.Gateway) (gateway.ClientTransport, error) {
+		clients, err := newClientTransport(g, f)
+		d.clients = clients
+		return clients, err
+	}
+	newModule := func(seed uint64, settings control.Settings, actions control.Actions) control.Module {
+		return control.New(seed, settings, actions)
+	}
+	var err error
+	d.Gateway, err = gateway.New(d.Loop, o, d.logger, newModule)
+	return err
+}
+
+// watchChangeLog applies the workers that a configuration has, and follows the change log at its address.
+func (d *Dispatcher) watchChangeLog(f *File) {
+	err := d.watch.applyResponse(&f.Known)
+	if err != nil {
+		d.logger.Error().Err(err).Msg("worker list of the configuration not applied")
+	}
+	d.watch.watch(f.changeLog)
+}
+
+// Reload puts the parts of a new configuration into force that can change in service: the change log's address, and the
+// workers known from it. Other fields that changed are logged.
+func (d *Dispatcher) Reload(f *File) {
+	d.logger.Info().Str("change_log", f.ChangeLog).Msg("configuration reloaded")
+	d.Gateway.RecordEvent("reload", "", nil, nil, 0)
+	fields := d.config.differs(f)
+	if len(fields) > 0 {
+		d.logger.Warn().Strs("fields", fields).Msg("changed fields take effect after a restart only")
+	}
+	d.watchChangeLog(f)
+}
+
+// Stop begins a graceful shutdown: requests are accepted for a while, then what is in flight is answered, and the loop
+// ends. Only the first call has an effect.
+func (d *Dispatcher) Stop() {
+	if d.clients.stopping {
+		return
+	}
+	d.clients.stopping = true
+	d.logger.Info().Int("in_flight", d.Gateway.InFlight()).Msg("shutdown signal received")
+	requestedAt := d.Loop.ArrivedAt() // earlier than now if the process was stalled when the signal came
+	plan := lifecycle.PlanStop(stopTimes, d.maxTimeout)
+	d.stopBy = requestedAt + plan.AnswerBy
+	d.Loop.Start(&d.stopTimer, requestedAt+plan.ServeUntil-d.Loop.Now())
+}
+
+// logDrops logs the counts by reason that have changed since they were logged last.
+func (d *Dispatcher) logDrops() {
+	event := d.logger.Info()
+	changed := false
+	for reason, count := range d.clients.dropCounts {
+		if count != d.loggedDrops[reason] {
+			event = event.Int(reason, count)
+			changed = true
+			d.loggedDrops[reason] = count
+		}
+	}
+	if changed {
+		event.Msg("rejected or dropped so far, by reason")
+	}
+	d.Loop.Start(&d.dropLogTimer, dropLogInterval)
+}
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -20,41 +20,41 @@
 	"mastchute/internal/thrift/thrifttest"
 )
 
-// failing is a kernel whose failures a test switches on and off.
-type failing struct {
+// failingKernel is a kernel whose failures a test switches on and off.
+type failingKernel struct {
 	faults.Kernel
-	mu    sync.Mutex
-	call  faults.Call
-	errno syscall.Errno
-	until time.Time
-	every int64        // only each so many-th call fails; 0 for all
-	scrap atomic.Int64 // bytes that a read or write takes at most; 0 for no bound
-	hits  atomic.Int64
-	still atomic.Int64 // ns that the next wait stands still before it looks
-	mid   atomic.Int64 // ns that the next read stands still
+	mu              sync.Mutex
+	call            faults.Call
+	errno           syscall.Errno
+	until           time.Time
+	failEveryNth    int64        // only each so many-th call fails; 0 for all
+	maxTransfer     atomic.Int64 // bytes that a read or write takes at most; 0 for no bound
+	failures        atomic.Int64
+	stallBeforePoll atomic.Int64 // ns that the next wait stands still before it looks
+	stallInRead     atomic.Int64 // ns that the next read stands still
 }
 
-// newFailing makes the kernel of all loops of a test.
-func newFailing(t *testing.T) *failing {
-	k := &failing{Kernel: faults.Kernel{Kernel: syscalls.Linux{}}}
+// newFailingKernel makes the kernel of all loops of a test.
+func newFailingKernel(t *testing.T) *failingKernel {
+	k := &failingKernel{Kernel: faults.Kernel{Kernel: syscalls.Linux{}}}
 	k.Fail = func(c faults.Call, _ int) error {
 		if c == faults.EpollWait {
-			time.Sleep(time.Duration(k.still.Swap(0)))
+			time.Sleep(time.Duration(k.stallBeforePoll.Swap(0)))
 		}
 		if c == faults.Read {
-			time.Sleep(time.Duration(k.mid.Swap(0)))
+			time.Sleep(time.Duration(k.stallInRead.Swap(0)))
 		}
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if c == k.call && time.Now().Before(k.until) {
-			if n := k.hits.Add(1); k.every == 0 || n%k.every == 0 {
+			if n := k.failures.Add(1); k.failEveryNth == 0 || n%k.failEveryNth == 0 {
 				return k.errno
 			}
 		}
 		return nil
 	}
 	k.Short = func(_ faults.Call, _, n int) int {
-		if most := int(k.scrap.Load()); most > 0 {
+		if most := int(k.maxTransfer.Load()); most > 0 {
 			return most
 		}
 		return n
@@ -64,18 +64,18 @@
 	return k
 }
 
-// fail lets a call fail for a while.
-func (k *failing) fail(c faults.Call, errno syscall.Errno, span time.Duration) {
+// failFor lets a call fail for a while.
+func (k *failingKernel) failFor(c faults.Call, errno syscall.Errno, span time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.call, k.errno, k.until = c, errno, time.Now().Add(span)
 }
 
-// failEach lets only each so many-th call fail.
-func (k *failing) failEach(n int64) {
+// setFailEveryNth lets only each so many-th call fail.
+func (k *failingKernel) setFailEveryNth(n int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.every = n
+	k.failEveryNth = n
 }
 
 // Failures of accept that pass lose nobody, in service and in a stop.
@@ -94,24 +94,24 @@
 func acceptFailsForAWhile(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ECONNABORTED, unix.EINTR, unix.EPROTO} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			k := newFailing(t)
-			r := newRig(t, "load", newWorker(t, "w1", fine))
+			k := newFailingKernel(t)
+			r := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
 			r.expect("read", "returned")
-			k.failEach(2)
-			k.fail(faults.Accept, errno, 300*time.Millisecond)
-			r.all(t, 12, "returned")
-			if k.hits.Load() == 0 {
+			k.setFailEveryNth(2)
+			k.failFor(faults.Accept, errno, 300*time.Millisecond)
+			r.sendAll(t, 12, "returned")
+			if k.failures.Load() == 0 {
 				t.Error("accept never failed")
 			}
 		})
 	}
 }
 
-// all sends a request on each of so many new connections at once, and expects the same answer to each. It returns when each
+// sendAll sends a request on each of so many new connections at once, and expects the same answer to each. It returns when each
 // was sent, by id.
-func (r *rig) all(t *testing.T, n int, want string) map[string]time.Time {
+func (r *harness) sendAll(t *testing.T, n int, want string) map[string]time.Time {
 	t.Helper()
-	var clients []*client
+	var clients []*testClient
 	sent := map[string]time.Time{}
 	for range n {
 		c, id := r.dial(), newID()
@@ -121,8 +121,8 @@
 	}
 	got := map[string]int{}
 	for _, c := range clients {
-		if a, ok := c.answer(); ok {
-			got[kind(a)]++
+		if a, ok := c.readReply(); ok {
+			got[replyKind(a)]++
 		} else {
 			got["closed"]++
 		}
@@ -135,13 +135,13 @@
 
 // The same while the process is told to stop: connections that wait in the backlog are answered before it ends.
 func acceptFailsWhileDraining(t *testing.T) {
-	k := newFailing(t)
-	r := newRig(t, "load", newWorker(t, "w1", fine))
+	k := newFailingKernel(t)
+	r := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
 	r.expect("read", "returned")
-	r.on(r.d.Stop)
+	r.onLoop(r.dispatcher.Stop)
 	time.Sleep(650 * time.Millisecond)
-	k.fail(faults.Accept, unix.ENFILE, 300*time.Millisecond)
-	var clients []*client
+	k.failFor(faults.Accept, unix.ENFILE, 300*time.Millisecond)
+	var clients []*testClient
 	for range 12 {
 		c := r.dial()
 		c.send("read", "in")
@@ -149,12 +149,12 @@
 	}
 	closed := 0
 	for _, c := range clients {
-		if _, ok := c.answer(); !ok {
+		if _, ok := c.readReply(); !ok {
 			closed++
 		}
 	}
-	if closed > 0 || k.hits.Load() == 0 {
-		t.Errorf("%d of 12 closed without an answer; accept failed %d times", closed, k.hits.Load())
+	if closed > 0 || k.failures.Load() == 0 {
+		t.Errorf("%d of 12 closed without an answer; accept failed %d times", closed, k.failures.Load())
 	}
 }
 
@@ -168,15 +168,15 @@
 		t.Run(string(c.call)+" "+unix.ErrnoName(c.errno), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
 			t.Setenv("LB_CONFIG", path)
-			os.WriteFile(path, []byte(runFile(t)), 0o600)
-			k := newFailing(t)
+			os.WriteFile(path, []byte(configJSON(t)), 0o600)
+			k := newFailingKernel(t)
 			span := 150 * time.Millisecond
 			if c.call == faults.ReadFile {
 				span = 1500 * time.Millisecond // a disk may take its time
 			}
-			k.fail(c.call, c.errno, span)
+			k.failFor(c.call, c.errno, span)
 			runUntilServing(t)
-			if k.hits.Load() == 0 {
+			if k.failures.Load() == 0 {
 				t.Error("the call never failed")
 			}
 		})
@@ -184,7 +184,7 @@
 	t.Run("half written", func(t *testing.T) {
 		path := filepath.Join(t.TempDir(), "config.json")
 		t.Setenv("LB_CONFIG", path)
-		text := runFile(t)
+		text := configJSON(t)
 		os.WriteFile(path, []byte(text[:len(text)/2]), 0o600)
 		time.AfterFunc(150*time.Millisecond, func() { os.WriteFile(path, []byte(text), 0o600) })
 		runUntilServing(t)
@@ -233,23 +233,23 @@
 	const still = 600 * time.Millisecond
 	for _, c := range []struct {
 		name string
-		stop func(k *failing, d time.Duration)
+		stop func(k *failingKernel, d time.Duration)
 		open bool
 	}{
-		{"before the look, open connection", func(k *failing, d time.Duration) { k.still.Store(int64(d)) }, true},
-		{"before the look, new connection", func(k *failing, d time.Duration) { k.still.Store(int64(d)) }, false},
+		{"before the look, open connection", func(k *failingKernel, d time.Duration) { k.stallBeforePoll.Store(int64(d)) }, true},
+		{"before the look, new connection", func(k *failingKernel, d time.Duration) { k.stallBeforePoll.Store(int64(d)) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			k := newFailing(t)
-			w := newWorker(t, "w1", fine)
-			r := newRig(t, "load", w)
+			k := newFailingKernel(t)
+			w := newFakeWorker(t, "w1", respondServed)
+			r := newHarness(t, "load", w)
 			r.expect("read", "returned")
 			clients := r.dialMany(10)
 			if c.open {
-				r.until("all are accepted", func() bool { return r.d.front.conns >= 10 })
+				r.waitFor("all are accepted", func() bool { return r.dispatcher.clients.connCount >= 10 })
 			}
 			c.stop(k, still)
-			r.d.Loop.Post(func() {}) // ends the wait at hand; the next one stands still
+			r.dispatcher.Loop.Post(func() {}) // ends the wait at hand; the next one stands still
 			time.Sleep(30 * time.Millisecond)
 			if !c.open {
 				for i := range clients {
@@ -261,20 +261,20 @@
 				c.send("read", "in")
 			}
 			for _, c := range clients {
-				if a, ok := c.answer(); !ok || kind(a) != "returned" {
+				if a, ok := c.readReply(); !ok || replyKind(a) != "returned" {
 					t.Errorf("%+v %v", a, ok)
 				}
 			}
 			if took := time.Since(sent); took < still/2 {
 				t.Fatalf("answered after %v: it did not stand still", took)
 			}
-			checkBudgets(t, w.seen("invoke")[1:], time.Duration(patienceMS)*time.Millisecond-(still-50*time.Millisecond)+150*time.Millisecond)
+			checkDeadlines(t, w.messages("invoke")[1:], time.Duration(requestTimeoutMS)*time.Millisecond-(still-50*time.Millisecond)+150*time.Millisecond)
 		})
 	}
 }
 
 // dialMany opens so many connections.
-func (r *rig) dialMany(n int) (clients []*client) {
+func (r *harness) dialMany(n int) (clients []*testClient) {
 	r.t.Helper()
 	for range n {
 		clients = append(clients, r.dial())
@@ -282,12 +282,12 @@
 	return clients
 }
 
-// checkBudgets looks at the deadlines passed on.
-func checkBudgets(t *testing.T, list []seen, most time.Duration) {
+// checkDeadlines looks at the deadlines passed on.
+func checkDeadlines(t *testing.T, list []workerMessage, most time.Duration) {
 	t.Helper()
 	long := 0
 	for _, m := range list {
-		if budget(t, m) > most {
+		if workerDeadline(t, m) > most {
 			long++
 		}
 	}
@@ -296,8 +296,8 @@
 	}
 }
 
-// budget is the deadline in an attempt.
-func budget(t *testing.T, m seen) time.Duration {
+// workerDeadline is the deadline in an attempt.
+func workerDeadline(t *testing.T, m workerMessage) time.Duration {
 	t.Helper()
 	_, rest, _ := strings.Cut(m.fields, "budget=")
 	ms, _, _ := strings.Cut(rest, ",")
@@ -312,25 +312,28 @@
 // also where its leaving lies behind more bytes than one read takes.
 func standstillHearsLeavingFirst(t *testing.T) {
 	const still = 500 * time.Millisecond
-	before := func(k *failing, r *rig) { k.still.Store(int64(still)); r.d.Loop.Post(func() {}) }
-	middle := func(k *failing, r *rig) {
-		k.mid.Store(int64(still)) // the read of this probe stands still, and the requests are read in the same turn
+	before := func(k *failingKernel, r *harness) {
+		k.stallBeforePoll.Store(int64(still))
+		r.dispatcher.Loop.Post(func() {})
+	}
+	middle := func(k *failingKernel, r *harness) {
+		k.stallInRead.Store(int64(still)) // the read of this probe stands still, and the requests are read in the same turn
 		r.dial().Write([]byte{0})
 	}
 	for _, c := range []struct {
 		name   string
-		still  func(k *failing, r *rig)
+		still  func(k *failingKernel, r *harness)
 		behind int // bytes of other requests before the leaving
 		cancel bool
 	}{{"closes", before, 0, false}, {"cancels", before, 0, true}, {"closes behind much", before, 8, false}, {"cancels behind much", before, 8, true},
 		{"closes in the middle of a turn", middle, 0, false}, {"cancels in the middle of a turn", middle, 0, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			k := newFailing(t)
-			w := newWorker(t, "w1", fine)
-			r := newRig(t, "load", w)
+			k := newFailingKernel(t)
+			w := newFakeWorker(t, "w1", respondServed)
+			r := newHarness(t, "load", w)
 			r.expect("read", "returned")
 			clients := r.dialMany(10)
-			r.until("all are accepted", func() bool { return r.d.front.conns >= 10 })
+			r.waitFor("all are accepted", func() bool { return r.dispatcher.clients.connCount >= 10 })
 			c.still(k, r)
 			time.Sleep(30 * time.Millisecond)
 			for _, cl := range clients {
@@ -347,7 +350,7 @@
 				}
 			}
 			time.Sleep(still + 200*time.Millisecond)
-			if n := len(w.seen("invoke")) - 1; n > 0 {
+			if n := len(w.messages("invoke")) - 1; n > 0 {
 				t.Errorf("%d attempts begin after their clients have gone", n)
 			}
 			r.expect("read", "returned")
@@ -359,8 +362,8 @@
 func TestBurstOfSignalsKeepsTheStop(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("LB_CONFIG", path)
-	os.WriteFile(path, []byte(runFile(t)), 0o600)
-	k := newFailing(t)
+	os.WriteFile(path, []byte(configJSON(t)), 0o600)
+	k := newFailingKernel(t)
 	k.Kernel.Fail = func(c faults.Call, _ int) error {
 		if c == faults.ReadFile {
 			time.Sleep(100 * time.Millisecond) // a slow disk: the signals come in meanwhile
@@ -398,27 +401,27 @@
 func TestReloadOfAHalfWrittenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("LB_CONFIG", path)
-	text := runFile(t)
+	text := configJSON(t)
 	os.WriteFile(path, []byte(text), 0o600)
 	out := &watchedLog{lines: make(chan string, 1000)}
 	code := make(chan int, 1)
 	go func() { code <- Run(out) }()
-	out.until(t, `"serving"`)
-	other := newChangeLog(t).srv.Listener.Addr().String()
+	out.waitFor(t, `"serving"`)
+	other := newFakeChangeLog(t).server.Listener.Addr().String()
 	moved := regexp.MustCompile(`"changelog":"[^"]*"`).ReplaceAllString(text, `"changelog":"`+other+`"`)
 	os.WriteFile(path, []byte(moved[:len(moved)/2]), 0o600)
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	out.until(t, "the old one stays in force")
+	out.waitFor(t, "the previous one stays in force")
 	os.WriteFile(path, []byte(moved), 0o600)
-	out.until(t, `"change_log":"`+other+`"`)
+	out.waitFor(t, `"change_log":"`+other+`"`)
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	if c := <-code; c != 0 {
 		t.Errorf("exit %d", c)
 	}
 }
 
-// until waits for a line that holds a text.
-func (w *watchedLog) until(t *testing.T, text string) {
+// waitFor waits for a line that holds a text.
+func (w *watchedLog) waitFor(t *testing.T, text string) {
 	t.Helper()
 	deadline := time.After(5 * time.Second)
 	for {
@@ -435,19 +438,19 @@
 
 // A message that stands still half sent does not cost the answers owed on its connection; it is cut off when they are given.
 func TestStalledMessageSparesOpenRequests(t *testing.T) {
-	w := newWorker(t, "w1", func(c net.Conn, m seen) { time.Sleep(1400 * time.Millisecond); fine(c, m) })
-	r := newRig(t, "load", w)
+	w := newFakeWorker(t, "w1", func(c net.Conn, m workerMessage) { time.Sleep(1400 * time.Millisecond); respondServed(c, m) })
+	r := newHarness(t, "load", w)
 	c := r.dial()
 	c.send("once", "in")
-	c.Write(request(2, "read", "never whole")[:50])
-	if a, ok := c.answer(); !ok || kind(a) != "returned" {
+	c.Write(requestFrame(2, "read", "never whole")[:50])
+	if a, ok := c.readReply(); !ok || replyKind(a) != "returned" {
 		t.Errorf("the open request: %+v %v", a, ok)
 	}
 	c.SetDeadline(time.Now().Add(2 * time.Second))
-	if a, ok := c.answer(); ok {
+	if a, ok := c.readReply(); ok {
 		t.Errorf("an answer to half a message: %+v", a)
 	}
-	if n := r.refused("message_stalled"); n != 1 {
+	if n := r.dropCount("message_stalled"); n != 1 {
 		t.Errorf("%d stalled messages", n)
 	}
 }
@@ -457,42 +460,42 @@
 func TestStandstillAsksTheChangeLogFirst(t *testing.T) {
 	const still = 1700 * time.Millisecond
 	for _, answers := range []bool{true, false} {
-		k := newFailing(t)
-		a, b := newWorker(t, "w1", fine), newWorker(t, "w2", fine)
-		r := newRig(t, "load", a, b)
+		k := newFailingKernel(t)
+		a, b := newFakeWorker(t, "w1", respondServed), newFakeWorker(t, "w2", respondServed)
+		r := newHarness(t, "load", a, b)
 		for range 4 {
 			r.expect("read", "returned")
 		}
 		c := r.dial()
-		r.until("it is accepted", func() bool { return r.d.front.conns > 0 })
-		r.on(func() { r.d.feed.grace = 0.2 })
-		if len(a.seen("invoke")) < len(b.seen("invoke")) {
+		r.waitFor("it is accepted", func() bool { return r.dispatcher.clients.connCount > 0 })
+		r.onLoop(func() { r.dispatcher.watch.drainGrace = 0.2 })
+		if len(a.messages("invoke")) < len(b.messages("invoke")) {
 			a = b // the one that requests go to
 		}
-		before := len(a.seen("invoke"))
-		k.still.Store(int64(still))
-		r.d.Loop.Post(func() {})
+		before := len(a.messages("invoke"))
+		k.stallBeforePoll.Store(int64(still))
+		r.dispatcher.Loop.Post(func() {})
 		time.Sleep(1200 * time.Millisecond) // the poll at hand has its answer by now
-		r.log.add(false, a.member("leaving", 0))
+		r.changeLog.publish(false, a.memberJSON("leaving", 0))
 		time.Sleep(20 * time.Millisecond)
 		if !answers {
-			r.log.mu.Lock()
-			r.log.odd = func(http.ResponseWriter, string) { time.Sleep(2 * time.Second) }
-			r.log.mu.Unlock()
+			r.changeLog.mu.Lock()
+			r.changeLog.nextResponse = func(http.ResponseWriter, string) { time.Sleep(2 * time.Second) }
+			r.changeLog.mu.Unlock()
 		}
 		sent := time.Now()
 		for range 10 {
 			c.send("read", "in", "patience=3000")
 		}
 		for range 10 {
-			if got, ok := c.answer(); !ok || kind(got) != "returned" {
+			if got, ok := c.readReply(); !ok || replyKind(got) != "returned" {
 				t.Errorf("%+v %v", got, ok)
 			}
 		}
-		if took := time.Since(sent); took > still-1200*time.Millisecond+time.Duration(askMost*1e9)+200*time.Millisecond {
+		if took := time.Since(sent); took > still-1200*time.Millisecond+time.Duration(maxSendHold*1e9)+200*time.Millisecond {
 			t.Errorf("answered after %v", took)
 		}
-		if n := len(a.seen("invoke")) - before; answers && n > 0 {
+		if n := len(a.messages("invoke")) - before; answers && n > 0 {
 			t.Errorf("%d attempts at a worker that has drained for longer than the grace", n)
 		}
 	}
@@ -500,16 +503,16 @@
 
 // Where connections are used up, one that was accepted a moment ago is not closed for the next: its request is on its way.
 func TestRoomSparesAFreshConnection(t *testing.T) {
-	r := newRig(t, "load", newWorker(t, "w1", fine))
-	r.on(func() { r.d.front.most = 4 })
-	var clients []*client
+	r := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
+	r.onLoop(func() { r.dispatcher.clients.maxConns = 4 })
+	var clients []*testClient
 	for range 5 {
 		clients = append(clients, r.dial())
 	}
-	r.until("four are accepted", func() bool { return r.d.front.conns == 4 })
+	r.waitFor("four are accepted", func() bool { return r.dispatcher.clients.connCount == 4 })
 	for i, c := range clients {
 		c.send("read", "in")
-		if a, ok := c.answer(); !ok || kind(a) != "returned" {
+		if a, ok := c.readReply(); !ok || replyKind(a) != "returned" {
 			t.Errorf("connection %d: %+v %v", i, a, ok)
 		}
 	}
@@ -517,74 +520,76 @@
 
 // A change log that answers each question seconds late is heard all the same: its answers are waited for longer each time.
 func TestSlowChangeLogIsHeard(t *testing.T) {
-	w := newWorker(t, "w1", fine)
-	r := newRig(t, "load", w)
-	r.log.mu.Lock()
-	r.log.late = 2 * time.Second
-	r.log.mu.Unlock()
-	r.log.add(false, w.member("leaving", 0))
+	w := newFakeWorker(t, "w1", respondServed)
+	r := newHarness(t, "load", w)
+	r.changeLog.mu.Lock()
+	r.changeLog.delay = 2 * time.Second
+	r.changeLog.mu.Unlock()
+	r.changeLog.publish(false, w.memberJSON("leaving", 0))
 	deadline := time.Now().Add(7 * time.Second)
 	for heard := false; !heard; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the event is not heard after 7 s")
 		}
-		r.on(func() { heard = r.d.feed.last == 2 })
+		r.onLoop(func() { heard = r.dispatcher.watch.lastSeq == 2 })
 	}
 }
 
 func TestPollSlackFollowsTheChangeLog(t *testing.T) {
-	slack := pollSlack
+	slack := minResponseSlack
 	for range 10 {
-		slack = nextSlack(slack, true, 0)
+		slack = nextResponseSlack(slack, true, 0)
 	}
-	if slack != pollSlackMost {
+	if slack != maxResponseSlack {
 		t.Errorf("%g s after silence", slack)
 	}
-	if slack = nextSlack(slack, false, 1.2); slack != 2.4 {
+	if slack = nextResponseSlack(slack, false, 1.2); slack != 2.4 {
 		t.Errorf("%g s after an answer 1.2 s late", slack)
 	}
-	if slack = nextSlack(slack, false, 0); slack != pollSlack {
+	if slack = nextResponseSlack(slack, false, 0); slack != minResponseSlack {
 		t.Errorf("%g s after an answer in time", slack)
 	}
 }
 
 // A client that closes its side only, with requests open, is told that they failed, and not cut off; nothing begins for it.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
-	w := newWorker(t, "w1", fine, silent)
-	r := newRig(t, "load", w)
+	w := newFakeWorker(t, "w1", respondServed, ignore)
+	r := newHarness(t, "load", w)
 	r.expect("once", "returned")
 	c := r.dial()
 	for range 3 {
 		c.send("once", "in")
 	}
-	r.until("they are out", func() bool { return len(w.seen("invoke")) == 4 })
+	r.waitFor("they are out", func() bool { return len(w.messages("invoke")) == 4 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	seqs := map[int32]bool{}
 	for range 3 {
-		a, ok := c.answer()
-		if !ok || kind(a) != "failed" {
+		a, ok := c.readReply()
+		if !ok || replyKind(a) != "failed" {
 			t.Errorf("%+v %v", a, ok)
 		}
 		seqs[a.Seq] = true
 	}
-	if _, ok := c.answer(); ok || len(seqs) != 3 {
+	if _, ok := c.readReply(); ok || len(seqs) != 3 {
 		t.Errorf("%d requests answered, one more answer: %v", len(seqs), ok)
 	}
-	r.idle()
-	r.until("the attempts are called off", func() bool { return len(w.seen("abort")) == 3 })
+	r.waitIdle()
+	r.waitFor("the attempts are called off", func() bool { return len(w.messages("abort")) == 3 })
 }
 
 // The same where its answer comes in the turn in which it is heard that the client has closed its side.
 func TestHalfCloseBesideAnAnswer(t *testing.T) {
-	w := newWorker(t, "w1", func(c net.Conn, m seen) { go func() { time.Sleep(3 * time.Millisecond); fine(c, m) }() })
-	r := newRig(t, "load", w)
+	w := newFakeWorker(t, "w1", func(c net.Conn, m workerMessage) {
+		go func() { time.Sleep(3 * time.Millisecond); respondServed(c, m) }()
+	})
+	r := newHarness(t, "load", w)
 	r.expect("once", "returned")
 	for i := range 300 {
 		c := r.dial()
 		c.send("once", "in")
 		time.Sleep(time.Duration(i%30) * 200 * time.Microsecond)
 		c.Conn.(*net.TCPConn).CloseWrite()
-		if a, ok := c.answer(); !ok {
+		if a, ok := c.readReply(); !ok {
 			t.Fatalf("the %d. is closed without an answer: %+v", i, a)
 		}
 	}
@@ -592,19 +597,19 @@
 
 // A message that comes in slowly because this machine's reads fail is not its client's fault.
 func TestOwnReadFailuresStallNoMessage(t *testing.T) {
-	k := newFailing(t)
-	r := newRig(t, "load", newWorker(t, "w1", fine))
+	k := newFailingKernel(t)
+	r := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
 	r.expect("read", "returned")
 	c := r.dial()
-	r.until("it is accepted", func() bool { return r.d.front.conns > 0 })
-	k.failEach(2)
-	k.scrap.Store(2)
-	k.fail(faults.Read, unix.ENOBUFS, 1900*time.Millisecond)
+	r.waitFor("it is accepted", func() bool { return r.dispatcher.clients.connCount > 0 })
+	k.setFailEveryNth(2)
+	k.maxTransfer.Store(2)
+	k.failFor(faults.Read, unix.ENOBUFS, 1900*time.Millisecond)
 	c.send("read", "in")
-	if a, ok := c.answer(); !ok || kind(a) != "returned" {
+	if a, ok := c.readReply(); !ok || replyKind(a) != "returned" {
 		t.Errorf("%+v %v", a, ok)
 	}
-	if n := r.refused("message_stalled"); n > 0 {
+	if n := r.dropCount("message_stalled"); n > 0 {
 		t.Errorf("%d messages count as stalled", n)
 	}
 }
--- a/internal/platform/late_test.go
+++ b/internal/platform/late_test.go
@@ -11,8 +11,8 @@
 	"mastchute/internal/thrift/thrifttest"
 )
 
-// blackhole is an address at which no connection comes up: its listen backlog is full. room makes place in it.
-func blackhole(t *testing.T) (addr netip.AddrPort, room func()) {
+// newBlackhole is an address at which no connection comes up: its listen backlog is full. room makes place in it.
+func newBlackhole(t *testing.T) (addr netip.AddrPort, room func()) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -43,15 +43,15 @@
 	}
 }
 
-// repeats has f look at all repeats that wait for a connection, at the end of each turn.
-func (r *rig) repeats(f func(s *sent)) {
-	r.on(func() {
-		turn := r.d.Loop.AfterEvents
-		r.d.Loop.AfterEvents = func() {
+// onQueuedRetries has f look at all repeats that wait for a connection, at the end of each turn.
+func (r *harness) onQueuedRetries(f func(s *workerCall)) {
+	r.onLoop(func() {
+		turn := r.dispatcher.Loop.AfterEvents
+		r.dispatcher.Loop.AfterEvents = func() {
 			turn()
-			for c := range r.d.front.workers.conns {
-				for _, s := range c.l.queue {
-					if s.f != nil && s.f.Index > 0 {
+			for c := range r.dispatcher.clients.workers.conns {
+				for _, s := range c.transport.queue {
+					if s.attempt != nil && s.attempt.Index > 0 {
 						f(s)
 					}
 				}
@@ -63,22 +63,22 @@
 // A repeat of a deduplicated request whose window ends while it waits for its connection never leaves, and the first
 // that may have run is what the window counts from.
 func TestNoRepeatLeavesAfterItsWindow(t *testing.T) {
-	w := newWorker(t, "w1", reset, fine)
-	r := newRig(t, "load", w)
+	w := newFakeWorker(t, "w1", resetConn, respondServed)
+	r := newHarness(t, "load", w)
 	looked := 0
-	r.repeats(func(s *sent) {
-		if until := s.f.SendDeadline - r.d.Loop.Now(); looked == 0 && (until > 1 || until < 0.5) {
+	r.onQueuedRetries(func(s *workerCall) {
+		if until := s.attempt.SendDeadline - r.dispatcher.Loop.Now(); looked == 0 && (until > 1 || until < 0.5) {
 			t.Errorf("a window of 1 s ends in %g s", until)
 		}
 		looked++
-		s.f.SendDeadline = r.d.Loop.Now() - 0.001 // the connection comes up a moment too late
+		s.attempt.SendDeadline = r.dispatcher.Loop.Now() - 0.001 // the connection comes up a moment too late
 	})
-	if got, _ := r.ask("write"); got != "shed" && got != "failed" {
+	if got, _ := r.roundTrip("write"); got != "shed" && got != "failed" {
 		t.Errorf("it was %s", got)
 	}
-	r.idle()
-	r.on(func() {
-		if n := len(w.seen("invoke")); n != 1 || looked == 0 {
+	r.waitIdle()
+	r.onLoop(func() {
+		if n := len(w.messages("invoke")); n != 1 || looked == 0 {
 			t.Errorf("%d forwards left, %d repeats were looked at", n, looked)
 		}
 	})
@@ -87,26 +87,26 @@
 // Where the window ends while a repeat waits for a connection that is never up, the answer comes then, and not when the
 // connection is given up.
 func TestEndOfTheWindowIsAnsweredAtOnce(t *testing.T) {
-	w := newWorker(t, "w1", reset)
-	r := newRig(t, "load", w)
-	hole, _ := blackhole(t)
-	r.on(func() { r.d.front.workers.connect = 60 })
-	r.repeats(func(s *sent) {
-		if s.l.addr != hole {
-			s.l.addr = hole
-			for c := range r.d.front.workers.conns { // the one that comes up is not to be had
-				s.l.remove(c)
+	w := newFakeWorker(t, "w1", resetConn)
+	r := newHarness(t, "load", w)
+	hole, _ := newBlackhole(t)
+	r.onLoop(func() { r.dispatcher.clients.workers.connectTimeout = 60 })
+	r.onQueuedRetries(func(s *workerCall) {
+		if s.transport.addr != hole {
+			s.transport.addr = hole
+			for c := range r.dispatcher.clients.workers.conns { // the one that comes up is not to be had
+				s.transport.removeConn(c)
 				c.conn.Close()
 			}
-			s.l.mark()
+			s.transport.scheduleDrain()
 		}
 	})
 	start := time.Now()
-	got, _ := r.ask("write", "patience=20000")
+	got, _ := r.roundTrip("write", "patience=20000")
 	if took := time.Since(start); got == "returned" || took > 1700*time.Millisecond {
 		t.Errorf("%s after %v", got, took)
 	}
-	if n := len(w.seen("invoke")); n != 1 {
+	if n := len(w.messages("invoke")); n != 1 {
 		t.Errorf("%d forwards left", n)
 	}
 }
@@ -116,23 +116,23 @@
 func TestConnectionComesUpLateOrNever(t *testing.T) {
 	for name, late := range map[string]bool{"never": false, "late": true} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", fine, silent)
-			r := newRig(t, "load", w)
+			w := newFakeWorker(t, "w1", respondServed, ignore)
+			r := newHarness(t, "load", w)
 			r.expect("once", "returned") // one connection stands
-			hole, room := blackhole(t)
-			r.on(func() {
-				r.d.front.workers.streams = 1
-				for c := range r.d.front.workers.conns {
-					c.l.addr = hole
+			hole, room := newBlackhole(t)
+			r.onLoop(func() {
+				r.dispatcher.clients.workers.maxStreams = 1
+				for c := range r.dispatcher.clients.workers.conns {
+					c.transport.addr = hole
 				}
 			})
 			c := r.dial()
 			c.send("once", "first")
-			r.until("it is out", func() bool { return len(w.seen("invoke")) == 2 })
+			r.waitFor("it is out", func() bool { return len(w.messages("invoke")) == 2 })
 			c.send("once", "second")
-			r.until("the second waits for a connection that does not come up", func() bool {
-				for x := range r.d.front.workers.conns {
-					if !x.up && len(x.l.queue) == 1 {
+			r.waitFor("the second waits for a connection that does not come up", func() bool {
+				for x := range r.dispatcher.clients.workers.conns {
+					if !x.established && len(x.transport.queue) == 1 {
 						return true
 					}
 				}
@@ -141,25 +141,25 @@
 			if late {
 				room() // it comes up when the kernel tries again; by then the other has room too
 			}
-			m := w.seen("invoke")[1]
-			say(m.conn, m, "served", "detail=resident", "well")
-			if a, ok := c.answer(); !ok || kind(a) != "returned" {
+			m := w.messages("invoke")[1]
+			writeResponse(m.conn, m, "served", "detail=resident", "well")
+			if a, ok := c.readReply(); !ok || replyKind(a) != "returned" {
 				t.Errorf("first: %+v %v", a, ok)
 			}
-			r.until("the second is out", func() bool { return len(w.seen("invoke")) == 3 })
-			m = w.seen("invoke")[2]
-			say(m.conn, m, "served", "detail=resident", "well")
-			if a, ok := c.answer(); !ok || kind(a) != "returned" || m.body != "second" {
+			r.waitFor("the second is out", func() bool { return len(w.messages("invoke")) == 3 })
+			m = w.messages("invoke")[2]
+			writeResponse(m.conn, m, "served", "detail=resident", "well")
+			if a, ok := c.readReply(); !ok || replyKind(a) != "returned" || m.body != "second" {
 				t.Errorf("second: %+v %v", a, ok)
 			}
-			r.idle()
+			r.waitIdle()
 		})
 	}
 }
 
 // What the configuration knows is enough to be ready at once, whatever the change log does.
 func TestReadyWithoutAChangeLog(t *testing.T) {
-	hole, _ := blackhole(t)
+	hole, _ := newBlackhole(t)
 	refuses, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -167,15 +167,15 @@
 	refuses.Close()
 	for name, addr := range map[string]netip.AddrPort{"never comes up": hole, "refuses": netip.MustParseAddrPort(refuses.Addr().String())} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", fine)
-			r := &rig{t: t, log: newChangeLog(t)}
-			r.log.add(true, w.member("active", 0))
-			r.file = rigFile(t, r.log, "load")
-			r.file.changeLog = addr
+			w := newFakeWorker(t, "w1", respondServed)
+			r := &harness{t: t, changeLog: newFakeChangeLog(t)}
+			r.changeLog.publish(true, w.memberJSON("active", 0))
+			r.config = testConfig(t, r.changeLog, "load")
+			r.config.changeLog = addr
 			r.start()
 			c := r.dial()
-			c.Write(alive(1))
-			if a, ok := c.answer(); !ok || !a.Good {
+			c.Write(aliveFrame(1))
+			if a, ok := c.readReply(); !ok || !a.Good {
 				t.Errorf("not ready at the first question: %+v %v", a, ok)
 			}
 			r.expect("once", "returned")
@@ -185,17 +185,17 @@
 
 // A flood of requests that are taken back at once leaves nothing behind, and others are served meanwhile.
 func TestFloodOfCancels(t *testing.T) {
-	w := newWorker(t, "w1", func(c net.Conn, m seen) {
+	w := newFakeWorker(t, "w1", func(c net.Conn, m workerMessage) {
 		if m.body != "flood" {
-			fine(c, m)
+			respondServed(c, m)
 		}
 	})
-	r := newRig(t, "load", w)
+	r := newHarness(t, "load", w)
 	r.expect("read", "returned")
-	flood := r.dial2()
+	flood := r.dialAccepted()
 	var all []byte
 	for seq := int32(2); seq < 5002; seq++ {
-		all = append(all, request(seq, "read", "flood")...)
+		all = append(all, requestFrame(seq, "read", "flood")...)
 		all = append(all, frame(thrifttest.Cancel(seq))...)
 	}
 	sent := make(chan error, 1)
@@ -206,19 +206,19 @@
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	flood.Write(alive(6000))
-	if a, ok := flood.answer(); !ok || a.Seq != 6000 {
+	flood.Write(aliveFrame(6000))
+	if a, ok := flood.readReply(); !ok || a.Seq != 6000 {
 		t.Errorf("%+v %v: an answer to what was taken back", a, ok)
 	}
-	r.idle()
-	r.on(func() {
-		p := r.d.front
-		if n := len(p.free); n > keptCalls {
+	r.waitIdle()
+	r.onLoop(func() {
+		p := r.dispatcher.clients
+		if n := len(p.freeRequests); n > maxPooledRequests {
 			t.Errorf("%d records kept", n)
 		}
 		for c := range p.workers.conns {
-			if len(c.open) > 0 || len(c.l.queue) > 0 || c.conn.UnsentBytes() > unreadMost {
-				t.Errorf("%d open, %d queued, %d bytes wait", len(c.open), len(c.l.queue), c.conn.UnsentBytes())
+			if len(c.inFlight) > 0 || len(c.transport.queue) > 0 || c.conn.UnsentBytes() > maxUnreadBytes {
+				t.Errorf("%d open, %d queued, %d bytes wait", len(c.inFlight), len(c.transport.queue), c.conn.UnsentBytes())
 			}
 		}
 	})
@@ -228,11 +228,11 @@
 func TestStopWritesHalfAnswersWhole(t *testing.T) {
 	const size = 50 << 10
 	big := make([]byte, size)
-	w := newWorker(t, "w1", reply("served", "detail=resident", string(big)))
-	r := newRig(t, "load", w)
-	slow := r.dial2()
+	w := newFakeWorker(t, "w1", respond("served", "detail=resident", string(big)))
+	r := newHarness(t, "load", w)
+	slow := r.dialAccepted()
 	half := func() (n int) { // bytes that the kernel does not take
-		for c := r.d.front.oldest.next; c != &r.d.front.oldest; c = c.next {
+		for c := r.dispatcher.clients.connRing.next; c != &r.dispatcher.clients.connRing; c = c.next {
 			n += c.conn.UnsentBytes()
 		}
 		return n
@@ -240,18 +240,18 @@
 	answers, waiting := 0, 0
 	for ; waiting == 0 && answers < 500; answers++ {
 		slow.send("read", "in")
-		r.until("it is answered", func() bool { waiting = half(); return r.d.Gateway.InFlight() == 0 })
+		r.waitFor("it is answered", func() bool { waiting = half(); return r.dispatcher.Gateway.InFlight() == 0 })
 	}
 	if waiting == 0 {
 		t.Fatal("the kernel takes all")
 	}
-	r.on(func() { r.d.Stop() })
-	r.on(func() { r.d.stop.Fire() })
-	r.on(func() { r.d.front.closeIdle() })
+	r.onLoop(func() { r.dispatcher.Stop() })
+	r.onLoop(func() { r.dispatcher.stopTimer.Fire() })
+	r.onLoop(func() { r.dispatcher.clients.closeDrained() })
 	for i := range answers {
-		if a, ok := slow.answer(); !ok || kind(a) != "returned" || len(a.Body) != size {
-			t.Fatalf("answer %d: %s of %d bytes, open %v", i, kind(a), len(a.Body), ok)
+		if a, ok := slow.readReply(); !ok || replyKind(a) != "returned" || len(a.Body) != size {
+			t.Fatalf("answer %d: %s of %d bytes, open %v", i, replyKind(a), len(a.Body), ok)
 		}
 	}
-	r.ended()
+	r.waitEnd()
 }
--- a/internal/platform/race_off_test.go
+++ b/internal/platform/race_off_test.go
@@ -2,4 +2,4 @@
 
 package platform
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/platform/restart_test.go
+++ b/internal/platform/restart_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -23,8 +24,8 @@
 	"mastchute/internal/thrift/thrifttest"
 )
 
-// alive is a client's question whether the dispatcher can serve.
-func alive(seq int32) []byte {
+// aliveFrame is a client's question whether the dispatcher can serve.
+func aliveFrame(seq int32) []byte {
 	return frame(thrifttest.Message(func(p *lib.TBinaryProtocol) {
 		p.WriteMessageBegin(context.Background(), "alive", lib.CALL, seq)
 		p.WriteFieldBegin(context.Background(), "", lib.BOOL, 1)
@@ -33,24 +34,24 @@
 	}))
 }
 
-// ended waits for the end of the dispatcher's loop.
-func (r *rig) ended() {
+// waitEnd waits for the end of the dispatcher's loop.
+func (r *harness) waitEnd() {
 	r.t.Helper()
 	select {
-	case err := <-r.d.ended:
+	case err := <-r.dispatcher.loopDone:
 		if err != nil {
 			r.t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
 		r.t.Fatal("the dispatcher does not end")
 	}
-	r.d.ended <- nil
+	r.dispatcher.loopDone <- nil
 }
 
-// answerInHand ends the attempt of the request in flight as served, as its worker's answer would.
-func (r *rig) answerInHand() {
-	for _, k := range r.d.front.open {
-		for c := range r.d.front.workers.conns {
+// answerInFlight ends the attempt of the request in flight as served, as its worker's answer would.
+func (r *harness) answerInFlight() {
+	for _, k := range r.dispatcher.clients.inFlight {
+		for c := range r.dispatcher.clients.workers.conns {
 			c.Received(c.conn, []byte(string(k.id[:])+" served detail=resident 4\r\nwell\r\n"))
 		}
 	}
@@ -59,21 +60,21 @@
 // An answer given in the very turn in which connections are closed still goes out: at a drain, and where an idle
 // connection makes room for a new client.
 func TestAnswerAndCloseInOneTurn(t *testing.T) {
-	for name, closing := range map[string]func(*front){
-		"drain": func(p *front) { p.Drain(); p.closeIdle() },
-		"room":  func(p *front) { p.makeRoom() },
+	for name, closing := range map[string]func(*clientTransport){
+		"drain": func(p *clientTransport) { p.Drain(); p.closeDrained() },
+		"room":  func(p *clientTransport) { p.closeLongestIdle() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorker(t, "w1", silent)
-			r := newRig(t, "load", w)
+			w := newFakeWorker(t, "w1", ignore)
+			r := newHarness(t, "load", w)
 			c := r.dial()
 			c.send("once", "in")
-			r.until("it is out", func() bool { return len(w.seen("invoke")) == 1 })
-			r.on(func() {
-				r.answerInHand()
-				closing(r.d.front)
+			r.waitFor("it is out", func() bool { return len(w.messages("invoke")) == 1 })
+			r.onLoop(func() {
+				r.answerInFlight()
+				closing(r.dispatcher.clients)
 			})
-			if a, ok := c.answer(); !ok || kind(a) != "returned" || a.Body != "well" {
+			if a, ok := c.readReply(); !ok || replyKind(a) != "returned" || a.Body != "well" {
 				t.Errorf("%+v, open %v", a, ok)
 			}
 		})
@@ -82,26 +83,26 @@
 
 // A connection is not idle whose request lies unread when room is made.
 func TestRoomSparesAnUnreadRequest(t *testing.T) {
-	w := newWorker(t, "w1", fine)
-	r := newRig(t, "load", w)
+	w := newFakeWorker(t, "w1", respondServed)
+	r := newHarness(t, "load", w)
 	old, idle := r.dial(), r.dial()
-	for _, c := range []*client{old, idle} {
-		c.Write(alive(1))
-		if a, ok := c.answer(); !ok || !a.Good {
+	for _, c := range []*testClient{old, idle} {
+		c.Write(aliveFrame(1))
+		if a, ok := c.readReply(); !ok || !a.Good {
 			t.Fatalf("%+v %v", a, ok)
 		}
 	}
-	r.on(func() { // the loop stands still: the request is in the kernel, unread
+	r.onLoop(func() { // the loop stands still: the request is in the kernel, unread
 		old.seq = 1
 		old.send("once", "in")
-		if !r.d.front.makeRoom() {
+		if !r.dispatcher.clients.closeLongestIdle() {
 			t.Error("no room was made")
 		}
 	})
-	if a, ok := old.answer(); !ok || kind(a) != "returned" {
+	if a, ok := old.readReply(); !ok || replyKind(a) != "returned" {
 		t.Errorf("%+v, open %v", a, ok)
 	}
-	if a, ok := idle.answer(); ok {
+	if a, ok := idle.readReply(); ok {
 		t.Errorf("the idle one is open: %+v", a)
 	}
 }
@@ -109,79 +110,79 @@
 // While draining, what was sent in time is answered: on a connection that waits in the listen backlog, unread on an open
 // one, in pieces, and behind an answer on a connection that has just become idle.
 func TestDrainAnswersWhatWasSent(t *testing.T) {
-	w := newWorker(t, "w1", silent)
-	r := newRig(t, "load", w)
+	w := newFakeWorker(t, "w1", ignore)
+	r := newHarness(t, "load", w)
 	open, pieces := r.dial(), r.dial()
-	for _, c := range []*client{open, pieces} {
-		c.Write(alive(1))
-		if a, ok := c.answer(); !ok || !a.Good {
+	for _, c := range []*testClient{open, pieces} {
+		c.Write(aliveFrame(1))
+		if a, ok := c.readReply(); !ok || !a.Good {
 			t.Fatalf("%+v %v", a, ok)
 		}
 		c.seq = 1
 	}
-	whole := request(2, "once", "in")
+	whole := requestFrame(2, "once", "in")
 	pieces.Write(whole[:50])
-	r.until("a piece is in", func() bool {
-		for c := r.d.front.oldest.next; c != &r.d.front.oldest; c = c.next {
-			if c.part {
+	r.waitFor("a piece is in", func() bool {
+		for c := r.dispatcher.clients.connRing.next; c != &r.dispatcher.clients.connRing; c = c.next {
+			if c.partialMessage {
 				return true
 			}
 		}
 		return false
 	})
-	var waiting []*client
-	r.on(func() { // the loop stands still meanwhile: nothing is accepted or read
+	var waiting []*testClient
+	r.onLoop(func() { // the loop stands still meanwhile: nothing is accepted or read
 		for range 100 {
 			c := r.dial()
 			c.send("once", "in")
 			waiting = append(waiting, c)
 		}
 		open.send("once", "in")
-		r.d.Gateway.Stop(5)
-		r.d.front.closeIdle()
+		r.dispatcher.Gateway.Stop(5)
+		r.dispatcher.clients.closeDrained()
 	})
 	pieces.Write(whole[50:])
 	for _, c := range append(waiting, open, pieces) {
-		if a, ok := c.answer(); !ok || kind(a) != "shed" {
+		if a, ok := c.readReply(); !ok || replyKind(a) != "shed" {
 			t.Errorf("%+v, open %v", a, ok)
 		}
 	}
-	r.ended()
+	r.waitEnd()
 }
 
 // Before the platform's kill all in flight has its final answer: shed where it was never sent on, failed where it may
 // have run.
 func TestStopAnswersBeforeTheKill(t *testing.T) {
-	w := newWorker(t, "w1", silent)
-	r := newRig(t, "load", w)
-	r.on(func() { r.d.timeout = 60 })
+	w := newFakeWorker(t, "w1", ignore)
+	r := newHarness(t, "load", w)
+	r.onLoop(func() { r.dispatcher.maxTimeout = 60 })
 	out := r.dial()
 	out.send("once", "in", "patience=60000")
-	r.until("it is out", func() bool { return len(w.seen("invoke")) == 1 })
+	r.waitFor("it is out", func() bool { return len(w.messages("invoke")) == 1 })
 	held := r.dial()
-	r.log.add(false, w.member("leaving", 0)) // no worker is left to take another
-	r.until("it is told", func() bool { return !r.d.Gateway.Ready() })
+	r.changeLog.publish(false, w.memberJSON("leaving", 0)) // no worker is left to take another
+	r.waitFor("it is told", func() bool { return !r.dispatcher.Gateway.Ready() })
 	held.send("once", "in", "patience=60000")
-	r.until("both are in hand", func() bool { return r.d.Gateway.InFlight() == 2 })
-	r.on(func() { r.d.Stop() })
-	r.on(func() { r.d.stop.Fire(); r.d.Gateway.Stop(0) })
+	r.waitFor("both are in hand", func() bool { return r.dispatcher.Gateway.InFlight() == 2 })
+	r.onLoop(func() { r.dispatcher.Stop() })
+	r.onLoop(func() { r.dispatcher.stopTimer.Fire(); r.dispatcher.Gateway.Stop(0) })
 	for timeout, kill := range map[float64]float64{0.5: 1.2, 3: 3.7, 9: 3.7} { // the platform's, after SIGTERM
 		if end := lifecycle.PlanStop(stopTimes, timeout).AnswerBy; end > kill-0.1 || end < kill-0.5 {
 			t.Errorf("timeout %g: all is answered %g s after SIGTERM, killed after %g", timeout, end, kill)
 		}
 	}
-	if a, ok := held.answer(); !ok || kind(a) != "shed" {
+	if a, ok := held.readReply(); !ok || replyKind(a) != "shed" {
 		t.Errorf("never forwarded: %+v %v", a, ok)
 	}
-	if a, ok := out.answer(); !ok || kind(a) != "failed" {
+	if a, ok := out.readReply(); !ok || replyKind(a) != "failed" {
 		t.Errorf("forwarded: %+v %v", a, ok)
 	}
-	r.ended()
+	r.waitEnd()
 }
 
 // What can't be read in the change log spares the rest, and does not come again for ever.
 func TestChangeLogSparesWhatCanBeRead(t *testing.T) {
-	a, b := newWorker(t, "w1", fine), newWorker(t, "w2", fine)
+	a, b := newFakeWorker(t, "w1", respondServed), newFakeWorker(t, "w2", respondServed)
 	for name, c := range map[string]struct {
 		answer string // A and B are the workers, active
 		want   []string
@@ -200,32 +201,32 @@
 		"a number too high": {`{"seq":9,"results":[{"seq":2,"fleet":{"members":[B]}}]}`, []string{"w1", "w2"}, 2, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, "load", a)
-			text := strings.NewReplacer("A", a.member("active", 0), "B", b.member("active", 0)).Replace(c.answer)
+			r := newHarness(t, "load", a)
+			text := strings.NewReplacer("A", a.memberJSON("active", 0), "B", b.memberJSON("active", 0)).Replace(c.answer)
 			take := func() (err error) {
-				f := r.d.feed
-				f.body, f.over = append(f.body[:0], text...), false
+				f := r.dispatcher.watch
+				f.body, f.unusable = append(f.body[:0], text...), false
 				f.call.Cancel()
 				f.ResponseDone(nil)
 				return err
 			}
-			r.on(func() {
+			r.onLoop(func() {
 				take()
 				var got []string
-				for _, w := range r.d.Gateway.Members.All() {
+				for _, w := range r.dispatcher.Gateway.Members.All() {
 					if w.Listed {
 						got = append(got, w.Name)
 					}
 				}
-				if f := r.d.feed; !slices.Equal(got, c.want) || f.last != c.last || (f.gap > 0) != c.again {
-					t.Errorf("workers %v, event %d, backoff %g; want %v, %d", got, f.last, f.gap, c.want, c.last)
+				if f := r.dispatcher.watch; !slices.Equal(got, c.want) || f.lastSeq != c.last || (f.backoff > 0) != c.again {
+					t.Errorf("workers %v, event %d, backoff %g; want %v, %d", got, f.lastSeq, f.backoff, c.want, c.last)
 				}
-				if n := r.d.front.refused[c.count]; c.count != "" && n == 0 {
-					t.Errorf("not counted as %s: %v", c.count, r.d.front.refused)
+				if n := r.dispatcher.clients.dropCounts[c.count]; c.count != "" && n == 0 {
+					t.Errorf("not counted as %s: %v", c.count, r.dispatcher.clients.dropCounts)
 				}
 				if c.again { // the second time it is taken as lost
-					if take(); r.d.feed.last <= c.last {
-						t.Errorf("asked for event %d for ever", r.d.feed.last+1)
+					if take(); r.dispatcher.watch.lastSeq <= c.last {
+						t.Errorf("asked for event %d for ever", r.dispatcher.watch.lastSeq+1)
 					}
 				}
 			})
@@ -245,16 +246,16 @@
 			t.Errorf("a gap of %g is drawn from %g to %g", gap, early, late)
 		}
 	}
-	if gap = nextBackoff(gap, false); gap != 0 || pollDelay(gap, 0.5, 0.005) != pollLeast-0.005 || pollDelay(gap, 0.5, 1) != 0 {
+	if gap = nextBackoff(gap, false); gap != 0 || pollDelay(gap, 0.5, 0.005) != minPollInterval-0.005 || pollDelay(gap, 0.5, 1) != 0 {
 		t.Errorf("after a good one: %g, %g, %g", gap, pollDelay(gap, 0.5, 0.005), pollDelay(gap, 0.5, 1))
 	}
-	a, b := newRig(t, "load"), &rig{t: t, log: newChangeLog(t)}
-	b.file = rigFile(t, b.log, "load")
-	b.file.seed++ // the platform gives each dispatcher another one
+	a, b := newHarness(t, "load"), &harness{t: t, changeLog: newFakeChangeLog(t)}
+	b.config = testConfig(t, b.changeLog, "load")
+	b.config.seed++ // the platform gives each dispatcher another one
 	b.start()
 	var first, second float64
-	a.on(func() { first = a.d.Gateway.RandomFloat() })
-	b.on(func() { second = b.d.Gateway.RandomFloat() })
+	a.onLoop(func() { first = a.dispatcher.Gateway.RandomFloat() })
+	b.onLoop(func() { second = b.dispatcher.Gateway.RandomFloat() })
 	if first == second {
 		t.Error("two dispatchers draw the same")
 	}
@@ -262,14 +263,14 @@
 
 // An event that tells an older start of a worker does not make a cold one warm.
 func TestLatestStartHolds(t *testing.T) {
-	r := newRig(t, "load")
-	w := newWorker(t, "w1", fine)
+	r := newHarness(t, "load")
+	w := newFakeWorker(t, "w1", respondServed)
 	now := time.Now().UnixMilli()
-	r.log.add(false, w.member("active", now))
-	r.log.add(false, w.member("leaving", 0))
-	r.until("both are heard", func() bool { return r.d.feed.last == 3 })
-	r.on(func() {
-		if e := r.d.Gateway.Members.ByName("w1").Epoch; e != float64(now)/1e3 {
+	r.changeLog.publish(false, w.memberJSON("active", now))
+	r.changeLog.publish(false, w.memberJSON("leaving", 0))
+	r.waitFor("both are heard", func() bool { return r.dispatcher.watch.lastSeq == 3 })
+	r.onLoop(func() {
+		if e := r.dispatcher.Gateway.Members.ByName("w1").Epoch; e != float64(now)/1e3 {
 			t.Errorf("start %g, told %d ms", e, now)
 		}
 	})
@@ -277,19 +278,19 @@
 
 // A reload says which of the changed fields are not taken over.
 func TestReloadNamesWhatItLeaves(t *testing.T) {
-	r := newRig(t, "load", newWorker(t, "w1", fine))
-	n := *r.file
+	r := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
+	n := *r.config
 	n.Limits.MemoryMB, n.Name = 32, "n1"
 	var out bytes.Buffer
-	r.on(func() { r.d.log = zerolog.New(&out); r.d.Reload(&n) })
+	r.onLoop(func() { r.dispatcher.logger = zerolog.New(&out); r.dispatcher.Reload(&n) })
 	if !strings.Contains(out.String(), `["name","limits"]`) {
 		t.Errorf("%s", out.String())
 	}
-	if r.file.differs(r.file) != nil {
+	if r.config.differs(r.config) != nil {
 		t.Error("nothing changed")
 	}
 	out.Reset()
-	r.on(func() { r.d.Reload(r.file) })
+	r.onLoop(func() { r.dispatcher.Reload(r.config) })
 	if strings.Contains(out.String(), "fields") {
 		t.Errorf("what was started by is told as a change: %s", out.String())
 	}
@@ -302,12 +303,12 @@
 		t.Fatal(err)
 	}
 	defer before.Close()
-	f := rigFile(t, newChangeLog(t), "load")
+	f := testConfig(t, newFakeChangeLog(t), "load")
 	f.listen = netip.MustParseAddrPort(before.Addr().String())
 	sig := lifecycle.NewSignals()
 	sig.Reload <- syscall.SIGHUP
 	sig.Stop <- syscall.SIGTERM
-	if d, err := newWhenFree(f, "", zerolog.Nop(), sig); d != nil || err != nil {
+	if d, err := newWithRetry(f, "", zerolog.Nop(), sig); d != nil || !errors.Is(err, errStopRequested) {
 		t.Errorf("told to stop: %v %v", d, err)
 	}
 	fds := func() int { list, _ := os.ReadDir("/proc/self/fd"); return len(list) }
@@ -321,13 +322,13 @@
 		t.Errorf("%d descriptors after failed starts, %d before", n, was)
 	}
 	before.Close()
-	d, err := newWhenFree(f, "", zerolog.Nop(), sig)
+	d, err := newWithRetry(f, "", zerolog.Nop(), sig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { d.ended <- d.Loop.Run() }()
+	go func() { d.loopDone <- d.Loop.Run() }()
 	d.Loop.Stop()
-	if err := <-d.ended; err != nil {
+	if err := <-d.loopDone; err != nil {
 		t.Error(err)
 	}
 }
@@ -340,7 +341,7 @@
 	}
 	defer before.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	free := runFile(t)
+	free := configJSON(t)
 	held := strings.Replace(free, "127.0.0.1:0", before.Addr().String(), 1)
 	f, err := parseFile([]byte(held))
 	if err != nil {
@@ -349,19 +350,19 @@
 	os.WriteFile(path, []byte(free), 0o600)
 	sig := lifecycle.NewSignals()
 	sig.Reload <- syscall.SIGHUP
-	d, err := newWhenFree(f, path, zerolog.Nop(), sig)
+	d, err := newWithRetry(f, path, zerolog.Nop(), sig)
 	if err != nil || d == nil {
 		t.Fatalf("%v %v", d, err)
 	}
-	go func() { d.ended <- d.Loop.Run() }()
+	go func() { d.loopDone <- d.Loop.Run() }()
 	d.Loop.Stop()
-	if err := <-d.ended; err != nil {
+	if err := <-d.loopDone; err != nil {
 		t.Error(err)
 	}
 	os.WriteFile(path, []byte("{"), 0o600) // one that can't be read leaves the start waiting by the old one
 	sig.Reload <- syscall.SIGHUP
 	sig.Stop <- syscall.SIGTERM
-	if d, err := newWhenFree(f, path, zerolog.Nop(), sig); d != nil || err != nil {
+	if d, err := newWithRetry(f, path, zerolog.Nop(), sig); d != nil || !errors.Is(err, errStopRequested) {
 		t.Errorf("told to stop: %v %v", d, err)
 	}
 }
@@ -371,14 +372,14 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("LB_CONFIG", path)
 	var bad bytes.Buffer
-	for _, text := range []string{"", "{", `{"listen":"x"}`, strings.Replace(runFile(t), `"sockets":256`, `"sockets":3`, 1)} {
+	for _, text := range []string{"", "{", `{"listen":"x"}`, strings.Replace(configJSON(t), `"sockets":256`, `"sockets":3`, 1)} {
 		os.WriteFile(path, []byte(text), 0o600)
 		bad.Reset()
 		if code := Run(&bad); code == 0 || strings.Count(bad.String(), "\n") != 1 {
 			t.Errorf("%q: exit %d, %q", text, code, bad.String())
 		}
 	}
-	os.WriteFile(path, []byte(strings.Replace(runFile(t), `{"name"`, `{"new_field":{"a":[1]},"name"`, 1)), 0o600)
+	os.WriteFile(path, []byte(strings.Replace(configJSON(t), `{"name"`, `{"new_field":{"a":[1]},"name"`, 1)), 0o600)
 	in, out := io.Pipe()
 	code := make(chan int, 1)
 	go func() { code <- Run(out); out.Close() }()
@@ -394,10 +395,10 @@
 			told++
 			os.WriteFile(path, []byte("{"), 0o600)
 			self.Signal(syscall.SIGHUP)
-		case told == 1 && strings.Contains(text, "the old one stays in force"):
+		case told == 1 && strings.Contains(text, "the previous one stays in force"):
 			told++
 			self.Signal(syscall.SIGTERM)
-		case told == 2 && strings.Contains(text, "told to stop"):
+		case told == 2 && strings.Contains(text, "shutdown signal received"):
 			told++
 			self.Signal(syscall.SIGTERM) // a second one in the middle
 			self.Signal(syscall.SIGHUP)
@@ -408,25 +409,25 @@
 	}
 }
 
-// runFile is a configuration as the platform writes it.
-func runFile(t *testing.T) string {
+// configJSON is a configuration as the platform writes it.
+func configJSON(t *testing.T) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
-	"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`, newChangeLog(t).srv.Listener.Addr(), rigSettings("load"))
+	"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`, newFakeChangeLog(t).server.Listener.Addr(), testSettings("load"))
 }
 
 // A client's tenant and its word that it asked before reach the host by the settings' names; an unknown tenant is none.
 func TestTenantsOfTheSettings(t *testing.T) {
-	w := newWorker(t, "w1", silent)
-	r := newRig(t, "load", w)
-	r.on(func() { r.d.front.tenants["town-library"] = 2 })
+	w := newFakeWorker(t, "w1", ignore)
+	r := newHarness(t, "load", w)
+	r.onLoop(func() { r.dispatcher.clients.tenants["town-library"] = 2 })
 	c := r.dial()
 	c.send("read", "in", "customer=town-library", "redo=1")
 	c.send("read", "in", "customer=nobody")
-	r.until("both are in hand", func() bool { return r.d.Gateway.InFlight() == 2 })
-	r.on(func() {
-		for _, k := range r.d.front.open {
-			if want := map[int32]int{1: 2, 2: -1}[k.seq]; k.q.Tenant() != want {
-				t.Errorf("call %d: tenant %d, want %d", k.seq, k.q.Tenant(), want)
+	r.waitFor("both are in hand", func() bool { return r.dispatcher.Gateway.InFlight() == 2 })
+	r.onLoop(func() {
+		for _, k := range r.dispatcher.clients.inFlight {
+			if want := map[int32]int{1: 2, 2: -1}[k.seqID]; k.request.Tenant() != want {
+				t.Errorf("call %d: tenant %d, want %d", k.seqID, k.request.Tenant(), want)
 			}
 		}
 	})
--- /dev/null
+++ b/internal/platform/send_queue.go
@@ -0,0 +1,162 @@
+package platform
+
+import (
+	"mastchute/control"
+	"mastchute/internal/gateway"
+	"mastchute/internal/rules"
+	"mastchute/internal/workerproto"
+)
+
+// workerCall is the transport's record of one attempt or control call, of which exactly one is set. It is kept in the
+// TransportState of its attempt or control call, and is reused with it. A call is queued, then in flight on a connection,
+// then neither.
+type workerCall struct {
+	attempt     *gateway.Attempt
+	controlCall *gateway.ControlCall
+	transport   *workerTransport
+	conn        *workerConn // nil unless in flight
+	queued      bool
+	tag         [24]byte // by which the worker's response names the call: the request's id, or one made from a number
+	tagLen      int
+	rewrites    int     // how often it was written again because its deadline was out of date
+	startOffset uint64  // of its bytes in all that was written to the connection
+	endOffset   uint64  // of the byte behind them
+	writtenAt   float64 // when it was written to the connection; its deadline was computed then
+}
+
+// callOf returns the record in a TransportState, nil if nothing was sent.
+func callOf(state any) *workerCall {
+	call, _ := state.(*workerCall)
+	return call
+}
+
+// resetCall returns the record in a TransportState for a new call. It makes one if there is none.
+func (t *workerTransport) resetCall(state *any) *workerCall {
+	call := callOf(*state)
+	if call == nil {
+		call = &workerCall{}
+		*state = call
+	}
+	*call = workerCall{transport: t}
+	return call
+}
+
+// enqueue queues a call to be written later in this turn of the loop.
+func (t *workerTransport) enqueue(call *workerCall) {
+	call.queued = true
+	t.queue = append(t.queue, call)
+	t.scheduleDrain()
+}
+
+// scheduleDrain schedules drainQueue once in this turn of the loop.
+func (t *workerTransport) scheduleDrain() {
+	if !t.drainScheduled {
+		t.drainScheduled = true
+		t.pool.transport.loop.Defer(t.drainQueueFunc)
+	}
+}
+
+// drainQueue writes queued calls to connections with capacity, and opens connections if there are too few.
+func (t *workerTransport) drainQueue() {
+	t.drainScheduled = false
+	if t.pool.transport.sendsHeld() {
+		t.pool.awaitingRelease = append(t.pool.awaitingRelease, t)
+		return
+	}
+	written := 0
+	for ; written < len(t.queue); written++ {
+		conn := t.leastLoadedConn()
+		if conn == nil {
+			break
+		}
+		t.writeQueued(t.queue[written], conn)
+	}
+	left := copy(t.queue, t.queue[written:])
+	clear(t.queue[left:])
+	t.queue = t.queue[:left]
+	t.connectIfNeeded()
+}
+
+// writeQueued writes a queued call to a connection, or finishes an attempt that may not be sent any more.
+func (t *workerTransport) writeQueued(call *workerCall, conn *workerConn) {
+	call.queued = false
+	if call.attempt != nil {
+		now := t.pool.transport.loop.Clock()
+		if call.attempt.CheckFirstByte(now, now, 0) != rules.Allowed {
+			call.finish(control.NotSent)
+			return
+		}
+	}
+	conn.writeCall(call)
+}
+
+// rewriteOrFail handles a call whose bytes were taken back because the rules no longer allow them to be sent. One whose
+// deadline is out of date is written again with a new one.
+func (t *workerTransport) rewriteOrFail(call *workerCall, reason rules.Reason) {
+	if reason == rules.StaleDeadline {
+		call.rewrites++
+		t.enqueue(call)
+		return
+	}
+	call.finish(control.NotSent)
+}
+
+// finish reports the result of the call to the gateway.
+func (c *workerCall) finish(result control.Result) {
+	if c.attempt != nil {
+		c.attempt.Finish(result)
+	} else if c.controlCall != nil {
+		c.controlCall.Finish(result)
+	}
+}
+
+// anySent reports whether a byte of the call has been passed to the kernel. It is false for a nil call.
+func (c *workerCall) anySent() bool {
+	if c == nil || c.queued {
+		return false
+	}
+	return c.conn == nil || c.conn.conn.SentBytes() > c.startOffset
+}
+
+// cancel ends the call without a result. Bytes that have not left the process are not sent. It does nothing on a nil call.
+func (c *workerCall) cancel() {
+	switch {
+	case c == nil:
+	case c.queued:
+		c.dequeue()
+	case c.conn != nil:
+		c.cancelInFlight()
+	}
+}
+
+// dequeue removes the call from its transport's queue.
+func (c *workerCall) dequeue() {
+	c.queued = false
+	queue := c.transport.queue
+	for i, other := range queue {
+		if other == c {
+			c.transport.queue = append(queue[:i], queue[i+1:]...)
+			return
+		}
+	}
+}
+
+// cancelInFlight takes the call off its connection. The worker is notified of a cancelled attempt that was sent
+// completely. The connection is closed if part of the call was sent: the worker does not read, and the rest may not follow.
+func (c *workerCall) cancelInFlight() {
+	conn := c.conn
+	c.conn = nil
+	conn.removeCall(c)
+	if conn.conn.SentBytes() >= c.endOffset {
+		if c.attempt != nil {
+			conn.write(workerproto.AppendCancel(conn.scratch(), c.tag[:c.tagLen]))
+		}
+	} else if !conn.retract(c) {
+		conn.close(control.ConnectionReset, reasonPartlySentAttempt)
+		return
+	}
+	if len(conn.transport.queue) > 0 {
+		conn.transport.scheduleDrain()
+	}
+	conn.resetTimer()
+}
--- a/internal/platform/sockets_test.go
+++ b/internal/platform/sockets_test.go
@@ -23,25 +23,25 @@
 		{faults.Write, unix.EAGAIN, 9}, {faults.Socket, unix.ENFILE, 0}, {faults.Socket, unix.EMFILE, 0}, {faults.Connect, unix.EADDRNOTAVAIL, 0},
 		{faults.Connect, unix.ENETUNREACH, 0}, {faults.Connect, unix.ENOBUFS, 0}, {faults.Connect, unix.EINTR, 0}, {faults.EpollWait, unix.EINTR, 0}} {
 		t.Run(string(c.call)+" "+unix.ErrnoName(c.errno), func(t *testing.T) {
-			k := newFailing(t)
-			w := newWorker(t, "w1", fine)
-			r := newRig(t, "load", w)
-			r.on(func() { r.d.front.workers.connect = 1 }) // longer than the failure
-			k.scrap.Store(int64(c.scrap))
-			k.failEach(1)
+			k := newFailingKernel(t)
+			w := newFakeWorker(t, "w1", respondServed)
+			r := newHarness(t, "load", w)
+			r.onLoop(func() { r.dispatcher.clients.workers.connectTimeout = 1 }) // longer than the failure
+			k.maxTransfer.Store(int64(c.scrap))
+			k.setFailEveryNth(1)
 			if c.call == faults.EpollWait || c.errno == unix.EINTR && c.call != faults.Connect {
-				k.failEach(2) // one that is interrupted each time is no failure that Linux has
+				k.setFailEveryNth(2) // one that is interrupted each time is no failure that Linux has
 			}
-			k.fail(c.call, c.errno, span)
-			sent := r.all(t, 10, "returned")
-			if k.hits.Load() == 0 {
+			k.failFor(c.call, c.errno, span)
+			sent := r.sendAll(t, 10, "returned")
+			if k.failures.Load() == 0 {
 				t.Error("the call never failed")
 			}
-			if n := r.ends("connect_failed") + r.ends("reset"); n > 0 {
+			if n := r.attemptCount("connect_failed") + r.attemptCount("reset"); n > 0 {
 				t.Errorf("%g attempts count against the worker", n)
 			}
-			for _, m := range w.seen("invoke") {
-				if b, left := budget(t, m), patienceMS*time.Millisecond-m.at.Sub(sent[m.id]); b > left+200*time.Millisecond {
+			for _, m := range w.messages("invoke") {
+				if b, left := workerDeadline(t, m), requestTimeoutMS*time.Millisecond-m.at.Sub(sent[m.id]); b > left+200*time.Millisecond {
 					t.Errorf("a deadline of %v, and %v are left", b, left)
 				}
 			}
@@ -49,10 +49,10 @@
 	}
 }
 
-// ends counts the attempts that ended in a way, as the metrics tell.
-func (r *rig) ends(result string) (sum float64) {
+// attemptCount counts the attempts that ended in a way, as the metrics tell.
+func (r *harness) attemptCount(result string) (sum float64) {
 	r.t.Helper()
-	list, err := r.d.Gateway.Metrics.Registry.Gather()
+	list, err := r.dispatcher.Gateway.Metrics.Registry.Gather()
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/platform/watch_client.go
@@ -0,0 +1,199 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"math"
+	"net/http"
+	"net/netip"
+	"strconv"
+
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
+)
+
+const (
+	longPollWait    = 1.0      // s that a poll asks the change log to wait: silence is noticed that much later
+	maxPollBytes    = 4 << 20  // bytes of a response's body
+	maxPooledPoll   = 64 << 10 // bytes of body capacity beyond which the buffer is not kept for the next poll
+	maxSendHold     = 0.2      // s that sends wait for the change log after a stall: it may be down
+	minStall        = 0.12     // s of a stall of the process after which the change log may be polled first
+	stallToGraceMax = 0.5      // of the drain grace: a longer stall may have hidden an event that is in force by now
+)
+
+var errUnusableResponse = errors.New("change log response is too long or has a status other than 200")
+
+// watchClient follows the change log by HTTP long polls, each from the last event applied. It implements httpconn.Caller.
+// All of it is used on the loop's goroutine only.
+type watchClient struct {
+	gateway      *gateway.Gateway
+	loop         *eventloop.Loop
+	countFailure func(reason string)
+
+	// The poll in flight.
+	pool          *httpconn.Pool // nil until watch is called
+	call          httpconn.Call
+	body          []byte
+	unusable      bool // the response is too long or has a status other than 200
+	polling       bool
+	polledAt      float64
+	requestedWait float64         // s that the poll asked the change log to wait
+	timer         eventloop.Timer // the timeout of the poll in flight; otherwise the next poll
+	backoff       float64         // s, before jitter; 0 after a good poll
+	responseSlack float64         // s that a response may take beyond requestedWait
+
+	// The position in the log.
+	lastSeq      int64   // the last event applied
+	missingSeq   int64   // the event for which the log was polled again because it was missing
+	lastGoodPoll float64 // when the last poll that had a good response was sent
+
+	// Sends that are held after a stall.
+	sendsHeld  bool
+	holdTimer  eventloop.Timer
+	drainGrace float64 // s after which a worker's drain, once in the log, is in force
+	onRelease  func()  // called when sends are no longer held
+}
+
+func newWatchClient(g *gateway.Gateway, drainGrace float64, countFailure func(string), onRelease func()) *watchClient {
+	w := &watchClient{
+		gateway:       g,
+		loop:          g.Loop,
+		countFailure:  countFailure,
+		drainGrace:    drainGrace,
+		onRelease:     onRelease,
+		responseSlack: minResponseSlack,
+	}
+	w.lastGoodPoll = w.loop.Now() // the configuration has the log's content at the start
+	w.call.Handler = w
+	w.timer.Fire = w.timerExpired
+	w.holdTimer.Fire = w.releaseSends
+	w.loop.OnStall = w.onStall
+	return w
+}
+
+// watch polls the change log at an address from now on.
+func (w *watchClient) watch(addr netip.AddrPort) {
+	if w.pool != nil {
+		w.call.Cancel()
+		w.pool.Close()
+	}
+	w.pool = httpconn.NewPool(w.loop, addr, httpconn.PoolOptions{
+		MaxConnections: 1,
+		MaxIdle:        1,
+		IdleTimeout:    maxBackoff,
+		ConnectTimeout: maxBackoff,
+	})
+	w.backoff = 0
+	w.polling = false
+	w.poll(longPollWait)
+}
+
+// onStall polls the change log at once after a stall of the process during which an event may have come into force.
+// Until the response, or for maxSendHold, nothing is sent to workers: the worker list may be out of date.
+func (w *watchClient) onStall(duration float64) {
+	if w.pool == nil || duration <= math.Max(w.drainGrace*stallToGraceMax, minStall) {
+		return
+	}
+	w.gateway.RecordEvent("asks_change_log_first", "standstill", nil, nil, duration)
+	w.sendsHeld = true
+	w.loop.Start(&w.holdTimer, maxSendHold)
+	w.call.Cancel()
+	w.poll(0)
+}
+
+// releaseSends ends the hold on sends, if there is one.
+func (w *watchClient) releaseSends() {
+	if w.sendsHeld {
+		w.sendsHeld = false
+		w.loop.Cancel(&w.holdTimer)
+		w.onRelease()
+	}
+}
+
+// poll requests the events after the last one applied, for which the change log may wait for so many seconds.
+func (w *watchClient) poll(wait float64) {
+	w.body = w.body[:0]
+	w.unusable = false
+	w.polling = true
+	w.polledAt = w.loop.Now()
+	w.requestedWait = wait
+	w.loop.Start(&w.timer, wait+w.responseSlack)
+	w.pool.Do(&w.call, w.request(wait), nil)
+}
+
+// request returns the head of a poll's request.
+func (w *watchClient) request(wait float64) []byte {
+	target := "/changes?since=" + strconv.FormatInt(w.lastSeq, 10) + "&timeout=" + strconv.FormatInt(int64(wait*1e3), 10)
+	head := httpcodec.AppendRequest(nil, http.MethodGet, target)
+	head = append(head, "Host: "...)
+	head = w.pool.Addr.AppendTo(head)
+	return append(head, "\r\n\r\n"...)
+}
+
+// timerExpired sends the next poll, or gives up the one in flight.
+func (w *watchClient) timerExpired() {
+	if !w.polling {
+		w.poll(longPollWait)
+		return
+	}
+	w.countFailure(reasonChangeLogSilent)
+	w.responseSlack = nextResponseSlack(w.responseSlack, true, 0)
+	w.gateway.RecordEvent(reasonChangeLogSilent, "", nil, nil, float64(w.lastSeq))
+	w.call.Cancel()
+	w.schedulePoll(true)
+}
+
+// schedulePoll schedules the next poll after one that has ended.
+func (w *watchClient) schedulePoll(failed bool) {
+	w.polling = false
+	w.backoff = nextBackoff(w.backoff, failed)
+	w.loop.Start(&w.timer, pollDelay(w.backoff, w.gateway.RandomFloat(), w.loop.Now()-w.polledAt))
+}
+
+// ResponseHead implements httpconn.Caller.
+func (w *watchClient) ResponseHead(head *httpcodec.Head) { w.unusable = head.Status != http.StatusOK }
+
+// ResponseBody implements httpconn.Caller.
+func (w *watchClient) ResponseBody(data []byte) {
+	if len(w.body)+len(data) > maxPollBytes {
+		w.unusable = true
+	}
+	if !w.unusable {
+		w.body = append(w.body, data...)
+	}
+}
+
+// ResponseDone implements httpconn.Caller.
+func (w *watchClient) ResponseDone(err error) {
+	if err == nil {
+		err = w.handleResponse()
+	}
+	if cap(w.body) > maxPooledPoll {
+		w.body = nil
+	}
+	if err == nil {
+		w.lastGoodPoll = w.polledAt
+		w.responseSlack = nextResponseSlack(w.responseSlack, false, w.loop.Now()-w.polledAt-w.requestedWait)
+	} else {
+		w.countFailure(reasonChangeLogFailed)
+		w.gateway.RecordEvent(reasonChangeLogFailed, closeReason(err), nil, nil, float64(w.lastSeq))
+		w.gateway.WorkerListFailed(err)
+	}
+	w.releaseSends()
+	w.schedulePoll(err != nil)
+}
+
+// handleResponse decodes and applies a complete response.
+func (w *watchClient) handleResponse() error {
+	if w.unusable {
+		return errUnusableResponse
+	}
+	var response WatchResponse
+	err := json.Unmarshal(w.body, &response)
+	if err != nil {
+		return err
+	}
+	return w.applyResponse(&response)
+}
--- /dev/null
+++ b/internal/platform/worker_pool.go
@@ -0,0 +1,67 @@
+package platform
+
+import "mastchute/control"
+
+// idleTimeoutFraction is the part of the workers' idle timeout after which idle connections are closed here: the worker's
+// own close could cross with an attempt.
+const idleTimeoutFraction = 0.85
+
+// workerPool holds the state that the transports to all workers share: their settings and the budget of descriptors.
+type workerPool struct {
+	transport          *clientTransport
+	maxStreams         int      // calls in flight on one connection
+	connectTimeout     float64  // s
+	idleTimeout        float64  // s
+	loadReportFields   []string // in the order of the configuration
+	conns              map[*workerConn]struct{}
+	maxConns           int                // to all workers
+	awaitingDescriptor []*workerTransport // to be drained when a connection ends or becomes idle
+	awaitingRelease    []*workerTransport // to be drained when sends are no longer held
+	lastTag            uint64             // the latest number from which a control call's tag was made
+}
+
+func (p *workerPool) init(t *clientTransport, f *File) {
+	c := f.host()
+	p.transport = t
+	p.loadReportFields = c.Report
+	p.conns = map[*workerConn]struct{}{}
+	p.maxStreams = int(f.positive("limits.streams_per_conn", streamsUsual))
+	p.connectTimeout = c.Limits.ConnectTimeout.Seconds
+	p.idleTimeout = c.Limits.WorkerIdleTimeout.Seconds * idleTimeoutFraction
+	p.maxConns = max(1, f.Limits.Sockets-t.maxConns-reserved)
+}
+
+// onCapacityFreed schedules the transports that wait for a descriptor: a connection has ended or become idle.
+func (p *workerPool) onCapacityFreed() {
+	for _, t := range p.awaitingDescriptor {
+		t.scheduleDrain()
+	}
+	clear(p.awaitingDescriptor)
+	p.awaitingDescriptor = p.awaitingDescriptor[:0]
+}
+
+// resumeSends schedules the transports that have calls queued since sends were held.
+func (p *workerPool) resumeSends() {
+	for _, t := range p.awaitingRelease {
+		t.scheduleDrain()
+	}
+	clear(p.awaitingRelease)
+	p.awaitingRelease = p.awaitingRelease[:0]
+}
+
+// closeIdleConn closes one idle connection to a worker. It reports whether there was one.
+func (p *workerPool) closeIdleConn() bool {
+	for conn := range p.conns {
+		if conn.established && len(conn.inFlight) == 0 {
+			conn.close(control.NotSent, reasonIdleClosed)
+			return true
+		}
+	}
+	return false
+}
+
+// acquireDescriptor reports whether the first connection to a worker may be opened though the budget is used up: after an
+// idle connection to another worker was closed, or from the reserve.
+func (p *workerPool) acquireDescriptor() bool {
+	return p.closeIdleConn() || len(p.conns) < p.maxConns+reservedForWorkers
+}
--- /dev/null
+++ b/internal/platform/worker_send.go
@@ -0,0 +1,122 @@
+package platform
+
+import (
+	"mastchute/control"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+	"mastchute/internal/rules"
+	"mastchute/internal/workerproto"
+)
+
+// scratch returns the client transport's buffer, empty. It is valid until the next call of write.
+func (c *workerConn) scratch() []byte { return c.transport.pool.transport.scratch[:0] }
+
+// write queues a message that was appended to scratch; it is flushed at the end of the loop's turn.
+func (c *workerConn) write(message []byte) {
+	c.conn.Write(message)
+	if cap(message) <= maxScratchBytes {
+		c.transport.pool.transport.scratch = message[:0]
+	}
+}
+
+// writeCall writes a call to the connection. One that has no response finishes later in this turn of the loop.
+func (c *workerConn) writeCall(call *workerCall) {
+	loop := c.transport.pool.transport.loop
+	now := loop.Clock()
+	message, hasResponse := appendCall(c.scratch(), call, now)
+	call.writtenAt = now
+	call.startOffset = c.conn.WrittenBytes()
+	call.endOffset = call.startOffset + uint64(len(message))
+	c.write(message)
+	if !hasResponse {
+		controlCall := call.controlCall
+		loop.Defer(func() { controlCall.Finish(control.Succeeded) })
+		return
+	}
+	call.conn = c
+	c.inFlight = append(c.inFlight, call)
+	c.resetTimer()
+}
+
+// appendCall appends a call's message to buf. It reports whether the worker responds to it.
+func appendCall(buf []byte, call *workerCall, now float64) (message []byte, hasResponse bool) {
+	tag := call.tag[:call.tagLen]
+	if call.attempt != nil {
+		accepted := call.attempt.Request
+		request := accepted.Responder.(*clientRequest)
+		timeoutMS := rules.WorkerDeadlineMillis(now, accepted.Deadline())
+		return workerproto.AppendInvoke(buf, tag, request.group, []byte(accepted.Model().Name), request.idempotencyKey, timeoutMS, request.body), true
+	}
+	controlCall := call.controlCall
+	switch controlCall.Kind {
+	case gateway.CallLoadModel:
+		return workerproto.AppendLoadModel(buf, tag, controlCall.Model.Name, controlCall.Replicas), true
+	case gateway.CallUnloadModel:
+		return workerproto.AppendUnloadModel(buf, controlCall.Model.Name), false
+	default:
+		return workerproto.AppendProbe(buf, tag), true
+	}
+}
+
+// BeforeWrite implements eventloop.WriteInterceptor. Between writeCall and the first byte sent, events may have changed
+// what the rules allow, and the deadline in the message gets out of date: the worker may be slow to read, or the loop may
+// have been busy. So each call of which some bytes are unsent is checked again.
+func (c *workerConn) BeforeWrite(conn *eventloop.Conn) {
+	now := c.transport.pool.transport.loop.Clock()
+	sent := conn.SentBytes()
+	for i := len(c.inFlight) - 1; i >= 0; i-- {
+		call := c.inFlight[i]
+		switch {
+		case call.endOffset <= sent:
+		case call.attempt == nil:
+			c.recheckControlCall(call, now, sent)
+		case call.startOffset >= sent:
+			c.recheckAttempt(call, now)
+		case rules.CheckRemainder(now, call.writtenAt) != rules.Allowed: // its deadline was sent and cannot be changed
+			c.close(control.ConnectionReset, reasonPartlySentDeadline)
+			return
+		}
+	}
+}
+
+// recheckControlCall queues an unsent control call again after a while. It has no deadline, but the worker may have changed
+// since.
+func (c *workerConn) recheckControlCall(call *workerCall, now float64, sent uint64) {
+	if call.startOffset < sent || now-call.writtenAt <= rules.MaxDeadlineAge {
+		return
+	}
+	if c.retract(call) {
+		c.removeCall(call)
+		call.conn = nil
+		c.transport.enqueue(call)
+	}
+}
+
+// recheckAttempt takes an unsent attempt back if the rules no longer allow it.
+func (c *workerConn) recheckAttempt(call *workerCall, now float64) {
+	reason := call.attempt.CheckFirstByte(now, call.writtenAt, call.rewrites)
+	if reason == rules.Allowed {
+		return
+	}
+	if c.retract(call) {
+		c.removeCall(call)
+		call.conn = nil
+		c.transport.rewriteOrFail(call, reason)
+	}
+}
+
+// retract takes the bytes of a call back out of the connection's buffer. It reports whether that was possible, that is,
+// whether none of them had been sent.
+func (c *workerConn) retract(call *workerCall) bool {
+	if !c.conn.Unwrite(call.startOffset, call.endOffset) {
+		return false
+	}
+	length := call.endOffset - call.startOffset
+	for _, other := range c.inFlight {
+		if other.startOffset >= call.endOffset {
+			other.startOffset -= length
+			other.endOffset -= length
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/platform/worker_transport.go
@@ -0,0 +1,238 @@
+package platform
+
+import (
+	"errors"
+	"net/netip"
+	"strconv"
+
+	"mastchute/control"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+)
+
+const (
+	maxConnsPerWorker  = 4 // where descriptors allow: a malformed response ends all calls on its connection only
+	spareConnThreshold = 3 // calls that each connection carries before a spare one is opened: a handshake costs the worker
+)
+
+// workerTransport is the transport to one worker, by the worker's id: a new worker at the address of one that is gone has a
+// transport of its own. It implements gateway.WorkerTransport.
+type workerTransport struct {
+	pool           *workerPool
+	worker         *gateway.Worker
+	addr           netip.AddrPort
+	conns          []*workerConn
+	queue          []*workerCall // not yet written to any connection
+	drainScheduled bool
+	drainQueueFunc func() // drainQueue, bound once so that scheduling it does not allocate
+	closed         bool
+}
+
+func newWorkerTransport(pool *workerPool, worker *gateway.Worker) *workerTransport {
+	t := &workerTransport{pool: pool, worker: worker, addr: worker.Addr}
+	t.drainQueueFunc = t.drainQueue
+	return t
+}
+
+// SendAttempt implements gateway.WorkerTransport.
+func (t *workerTransport) SendAttempt(attempt *gateway.Attempt) {
+	call := t.resetCall(&attempt.TransportState)
+	call.attempt = attempt
+	call.tagLen = copy(call.tag[:], attempt.Request.Responder.(*clientRequest).id[:])
+	t.enqueue(call)
+}
+
+// SendControlCall implements gateway.WorkerTransport.
+func (t *workerTransport) SendControlCall(controlCall *gateway.ControlCall) {
+	call := t.resetCall(&controlCall.TransportState)
+	call.controlCall = controlCall
+	t.pool.lastTag++
+	call.tagLen = len(strconv.AppendUint(append(call.tag[:0], 't'), t.pool.lastTag, 36))
+	t.enqueue(call)
+}
+
+// CancelAttempt implements gateway.WorkerTransport.
+func (t *workerTransport) CancelAttempt(attempt *gateway.Attempt) {
+	callOf(attempt.TransportState).cancel()
+}
+
+// CancelControlCall implements gateway.WorkerTransport.
+func (t *workerTransport) CancelControlCall(controlCall *gateway.ControlCall) {
+	callOf(controlCall.TransportState).cancel()
+}
+
+// SentAt implements gateway.WorkerTransport.
+func (t *workerTransport) SentAt(attempt *gateway.Attempt) float64 {
+	call := callOf(attempt.TransportState)
+	if call.anySent() {
+		return call.writtenAt
+	}
+	return 0
+}
+
+// FullySent implements gateway.WorkerTransport.
+func (t *workerTransport) FullySent(attempt *gateway.Attempt) bool {
+	return callOf(attempt.TransportState).anySent()
+}
+
+// FailUnsent implements gateway.WorkerTransport.
+func (t *workerTransport) FailUnsent() {
+	var unsent []*workerCall
+	unsent = append(unsent, t.queue...)
+	for _, conn := range t.conns {
+		for _, call := range conn.inFlight {
+			if !call.anySent() {
+				unsent = append(unsent, call)
+			}
+		}
+	}
+	for _, call := range unsent {
+		t.failLater(call)
+	}
+}
+
+// failLater cancels a call that has not been sent, and finishes it later in this turn of the loop. Until then it counts as
+// queued, so that anySent remains false.
+func (t *workerTransport) failLater(call *workerCall) {
+	call.cancel()
+	call.writtenAt = 0
+	call.queued = true
+	t.pool.transport.loop.Defer(func() {
+		if call.transport == t && call.queued {
+			call.queued = false
+			call.finish(control.NotSent)
+		}
+	})
+}
+
+// CloseIdle implements gateway.WorkerTransport.
+func (t *workerTransport) CloseIdle() {
+	for i := len(t.conns) - 1; i >= 0; i-- {
+		conn := t.conns[i]
+		if conn.established && len(conn.inFlight) == 0 {
+			conn.close(control.NotSent, reasonIdleClosed)
+		}
+	}
+}
+
+// Close implements gateway.WorkerTransport.
+func (t *workerTransport) Close() {
+	t.closed = true
+	t.CloseIdle()
+	for i := len(t.conns) - 1; i >= 0; i-- {
+		conn := t.conns[i]
+		if !conn.established && len(t.queue) == 0 {
+			t.removeConn(conn)
+			conn.conn.Close()
+		}
+	}
+}
+
+// ConnectionCount implements gateway.WorkerTransport.
+func (t *workerTransport) ConnectionCount() int { return len(t.conns) }
+
+// QueuedCount implements gateway.WorkerTransport.
+func (t *workerTransport) QueuedCount() int { return len(t.queue) }
+
+// leastLoadedConn returns the connection with the fewest calls in flight, nil if none has capacity.
+func (t *workerTransport) leastLoadedConn() *workerConn {
+	var best *workerConn
+	for _, conn := range t.conns {
+		if conn.hasCapacity() && (best == nil || len(conn.inFlight) < len(best.inFlight)) {
+			best = conn
+		}
+	}
+	return best
+}
+
+// connectIfNeeded opens another connection if queued calls wait for one, or as a spare if each carries calls already.
+func (t *workerTransport) connectIfNeeded() {
+	if !t.needsConn() && !t.needsSpareConn() {
+		return
+	}
+	pool := t.pool
+	if len(pool.conns) >= pool.maxConns {
+		if len(t.conns) > 0 {
+			return
+		}
+		if !pool.acquireDescriptor() {
+			pool.awaitingDescriptor = append(pool.awaitingDescriptor, t)
+			return
+		}
+	}
+	t.connect()
+}
+
+// needsConn reports whether more calls are queued than the connections that are being established can carry.
+func (t *workerTransport) needsConn() bool {
+	return len(t.queue) > t.connectingCount()*t.pool.maxStreams
+}
+
+// needsSpareConn reports whether each of the connections is established and carries spareConnThreshold calls or more.
+func (t *workerTransport) needsSpareConn() bool {
+	if len(t.queue) > 0 || len(t.conns) == 0 || len(t.conns) >= maxConnsPerWorker || t.closed {
+		return false
+	}
+	for _, conn := range t.conns {
+		if !conn.established || len(conn.inFlight) < spareConnThreshold {
+			return false
+		}
+	}
+	return true
+}
+
+// connectingCount returns how many connections are being established.
+func (t *workerTransport) connectingCount() int {
+	n := 0
+	for _, conn := range t.conns {
+		if !conn.established {
+			n++
+		}
+	}
+	return n
+}
+
+// connect begins to open a connection.
+func (t *workerTransport) connect() {
+	conn := &workerConn{transport: t}
+	conn.timer.Fire = conn.timerExpired
+	t.conns = append(t.conns, conn)
+	t.pool.conns[conn] = struct{}{}
+	conn.conn = t.pool.transport.loop.Dial(t.addr, t.pool.connectTimeout, conn)
+}
+
+// connectFailed finishes the queued calls, unless another connection may still carry them. A failure on this machine is not
+// attributed to the worker.
+func (t *workerTransport) connectFailed(conn *workerConn, err error) {
+	result := control.ConnectFailed
+	var localErr *eventloop.LocalError
+	if errors.As(err, &localErr) {
+		result = control.NotSent
+		t.pool.transport.countDrop(reasonLocalConnectFailure)
+	}
+	t.removeConn(conn)
+	if len(t.conns) > 0 {
+		t.scheduleDrain()
+		return
+	}
+	queue := t.queue
+	t.queue = nil
+	for _, call := range queue {
+		call.queued = false
+		call.finish(result)
+	}
+}
+
+// removeConn takes a closed connection out of the transport and the pool.
+func (t *workerTransport) removeConn(conn *workerConn) {
+	conn.closed = true
+	t.pool.transport.loop.Cancel(&conn.timer)
+	for i, other := range t.conns {
+		if other == conn {
+			t.conns = append(t.conns[:i], t.conns[i+1:]...)
+			delete(t.pool.conns, conn)
+			t.pool.onCapacityFreed()
+			return
+		}
+	}
+}
