--- a/internal/platform/alloc_test.go
+++ b/internal/platform/alloc_test.go
@@ -9,70 +9,107 @@
 	"testing"
 )
 
-// TestOrdinaryPathAllocatesNothing runs requests through client, dispatcher and worker, and reads the allocator's count.
-// The client and the worker of this test work on buffers of their own.
+// TestOrdinaryPathAllocatesNothing sends requests through client, dispatcher and worker, and counts allocations of the whole
+// process. The client and the worker of this test reuse their own buffers.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	if raceEnabled {
 		t.Skip("the race detector allocates")
 	}
-	const warm, total = 2000, 12000
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go answerAll(c)
-		}
-	}()
-	w := &fakeWorker{id: "w1", listener: ln}
-	r := newHarness(t, "load", w)
-	c := r.dial()
-	defer c.Close()
-	b := requestFrame(1, "read", "in")
-	at := bytes.Index(b, []byte("dispatch")) + len("dispatch")
-	id := bytes.Index(b, []byte("trace")) + len("trace") + 4
-	in := make([]byte, 4096)
+	const warmUp, total = 2000, 12000
+	h := newHarness(t, "load", newBareWorker(t))
+	client := h.dial()
+	request := newReusedRequest()
+	buf := make([]byte, 4096)
 	var before, after runtime.MemStats
 	for n := range total {
-		if n == warm {
+		if n == warmUp {
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 		}
-		binary.BigEndian.PutUint32(b[at:], uint32(n+1))
-		for i, v := 0, n; i < 8; i, v = i+1, v/10 {
-			b[id+15-i] = byte('0' + v%10)
-		}
-		if _, err := c.Write(b); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.ReadFull(c, in[:4]); err != nil {
+		_, err := client.Write(request.next())
+		if err != nil {
 			t.Fatal(err)
 		}
-		size := int(binary.BigEndian.Uint32(in))
-		if _, err := io.ReadFull(c, in[4:4+size]); err != nil {
+		reply, err := readFrame(client, buf)
+		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Contains(in[:4+size], []byte("well")) {
-			t.Fatalf("%q", in[:4+size])
+		if !bytes.Contains(reply, []byte("well")) {
+			t.Fatalf("%q", reply)
 		}
 	}
 	runtime.ReadMemStats(&after)
-	if each := float64(after.Mallocs-before.Mallocs) / (total - warm); each > 0.05 {
-		t.Errorf("%.3f allocations for an inference", each)
+	if each := float64(after.Mallocs-before.Mallocs) / (total - warmUp); each > 0.05 {
+		t.Errorf("%.3f allocations for each request", each)
+	}
+}
+
+// reusedRequest is the frame of a request of which the sequence id and the request id are overwritten for each use.
+type reusedRequest struct {
+	frame    []byte
+	seqIDAt  int
+	idAt     int
+	sequence int
+}
+
+func newReusedRequest() *reusedRequest {
+	frame := requestFrame(1, "read", "in")
+	return &reusedRequest{
+		frame:   frame,
+		seqIDAt: bytes.Index(frame, []byte("dispatch")) + len("dispatch"),
+		idAt:    bytes.Index(frame, []byte("trace")) + len("trace") + 4,
 	}
 }
 
-// answerAll serves each attempt on a connection. It looks for lines only, as the bodies here hold none.
-func answerAll(c net.Conn) {
-	in, out, have := make([]byte, 64<<10), make([]byte, 0, 4096), 0
+// next returns the frame with new ids.
+func (r *reusedRequest) next() []byte {
+	binary.BigEndian.PutUint32(r.frame[r.seqIDAt:], uint32(r.sequence+1))
+	digits := r.sequence
+	for i := range 8 {
+		r.frame[r.idAt+15-i] = byte('0' + digits%10)
+		digits /= 10
+	}
+	r.sequence++
+	return r.frame
+}
+
+// readFrame reads one frame into buf and returns its payload.
+func readFrame(reader io.Reader, buf []byte) ([]byte, error) {
+	_, err := io.ReadFull(reader, buf[:4])
+	if err != nil {
+		return nil, err
+	}
+	size := int(binary.BigEndian.Uint32(buf))
+	_, err = io.ReadFull(reader, buf[4:4+size])
+	return buf[4 : 4+size], err
+}
+
+// newBareWorker returns a worker that responds to attempts without allocating.
+func newBareWorker(t *testing.T) *fakeWorker {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go respondToAll(conn)
+		}
+	}()
+	return &fakeWorker{id: "w1", listener: listener}
+}
+
+// respondToAll responds to each attempt on a connection. It searches for the end of a body, which is the same for all.
+func respondToAll(conn net.Conn) {
+	in := make([]byte, 64<<10)
+	out := make([]byte, 0, 4096)
+	have := 0
 	for {
-		n, err := c.Read(in[have:])
+		n, err := conn.Read(in[have:])
 		if err != nil {
 			return
 		}
@@ -82,9 +119,12 @@
 			if end < 0 {
 				break
 			}
-			if line := in[:end]; bytes.HasPrefix(line, []byte("invoke ")) {
-				out = append(append(out[:0], line[7:23]...), " served detail=resident,use=inflight:1;queue:0 4\r\nwell\r\n"...)
-				if _, err := c.Write(out); err != nil {
+			line := in[:end]
+			if bytes.HasPrefix(line, []byte("invoke ")) {
+				out = append(out[:0], line[7:23]...)
+				out = append(out, " served detail=resident,use=inflight:1;queue:0 4\r\nwell\r\n"...)
+				_, err = conn.Write(out)
+				if err != nil {
 					return
 				}
 			}
--- /dev/null
+++ b/internal/platform/client_capacity_test.go
@@ -0,0 +1,104 @@
+package platform
+
+import (
+	"net"
+	"testing"
+)
+
+// Connections beyond the limit are accepted in place of idle ones; those with requests in flight are spared.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	worker := newFakeWorker(t, "w1", func(conn net.Conn, message workerMessage) {
+		if message.body != "wait" {
+			respondServed(conn, message)
+		}
+	})
+	h := newHarness(t, "load", worker)
+	h.expect("read", "returned")
+	busy := h.dial()
+	busy.send("read", "wait")
+	h.waitFor("the attempt is sent", func() bool { return len(worker.messages("invoke")) == 2 })
+	h.onLoop(func() { h.dispatcher.clients.maxConns = 10 })
+	for range 50 {
+		h.dial()
+	}
+	h.waitFor("all were accepted or closed", func() bool { return h.dispatcher.Loop.Stats.Accepted.Load() >= 51 })
+	for range 5 {
+		h.expect("read", "returned")
+	}
+	h.onLoop(func() {
+		if n := h.dispatcher.clients.connCount; n > 10 {
+			t.Errorf("%d connections", n)
+		}
+	})
+	message := worker.messages("invoke")[1]
+	writeResponse(message.conn, message, "served", "detail=resident", "late")
+	if reply, ok := busy.readReply(); !ok || reply.Body != "late" {
+		t.Errorf("%+v %v", reply, ok)
+	}
+}
+
+// A connection with an unread request is not idle.
+func TestEvictionSparesUnreadRequest(t *testing.T) {
+	worker := newFakeWorker(t, "w1", respondServed)
+	h := newHarness(t, "load", worker)
+	busy := h.dial()
+	idle := h.dial()
+	for _, client := range []*testClient{busy, idle} {
+		client.Write(aliveFrame(1))
+		if reply, ok := client.readReply(); !ok || !reply.Good {
+			t.Fatalf("%+v %v", reply, ok)
+		}
+	}
+	h.onLoop(func() { // the loop is blocked: the request stays in the kernel, unread
+		busy.seq = 1
+		busy.send("once", "in")
+		if !h.dispatcher.clients.closeLongestIdle() {
+			t.Error("no connection was evicted")
+		}
+	})
+	if reply, ok := busy.readReply(); !ok || replyKind(reply) != "returned" {
+		t.Errorf("%+v, open %v", reply, ok)
+	}
+	if reply, ok := idle.readReply(); ok {
+		t.Errorf("the idle connection is open: %+v", reply)
+	}
+}
+
+// At the limit, a connection that has just been accepted is not evicted: its request is under way.
+func TestEvictionSparesNewConnection(t *testing.T) {
+	h := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
+	h.onLoop(func() { h.dispatcher.clients.maxConns = 4 })
+	var clients []*testClient
+	for range 5 {
+		clients = append(clients, h.dial())
+	}
+	h.waitFor("four are accepted", func() bool { return h.dispatcher.clients.connCount == 4 })
+	for i, client := range clients {
+		client.send("read", "in")
+		if reply, ok := client.readReply(); !ok || replyKind(reply) != "returned" {
+			t.Errorf("connection %d: %+v %v", i, reply, ok)
+		}
+	}
+}
+
+// Connections that have sent nothing but a part of a first message are evicted.
+func TestPartialFirstMessagesAreEvicted(t *testing.T) {
+	h := newHarness(t, "load", newFakeWorker(t, "w1", respondServed))
+	h.onLoop(func() { h.dispatcher.clients.maxConns = 8 })
+	for range 8 {
+		h.dial().Write(requestFrame(1, "read", "in")[:40])
+	}
+	h.waitFor("all have sent a part", func() bool {
+		partial := 0
+		for _, conn := range h.clientConns() {
+			if conn.partialMessage {
+				partial++
+			}
+		}
+		return partial == 8
+	})
+	h.expect("read", "returned")
+	if n := h.dropCount("idle_closed"); n != 1 {
+		t.Errorf("%d connections evicted", n)
+	}
+}
--- /dev/null
+++ b/internal/platform/failing_kernel_test.go
@@ -0,0 +1,82 @@
+package platform
+
+import (
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"mastchute/internal/syscalls"
+	"mastchute/internal/syscalls/faults"
+)
+
+// failingKernel passes system calls on to Linux, and lets some of them fail or stall as a test sets it.
+type failingKernel struct {
+	faults.Kernel
+
+	mu           sync.Mutex // guards the fields below
+	call         faults.Call
+	errno        syscall.Errno
+	until        time.Time
+	failEveryNth int64 // 0 if each call fails
+
+	failures        atomic.Int64 // calls that met the failure, also those that were spared by failEveryNth
+	maxTransfer     atomic.Int64 // bytes that a read or write transfers at most; 0 for no limit
+	stallBeforePoll atomic.Int64 // ns by which the next wait for events is stalled before it looks for them
+	stallInRead     atomic.Int64 // ns by which the next read is stalled
+}
+
+// newFailingKernel returns the kernel of all loops that the test makes from now on.
+func newFailingKernel(t *testing.T) *failingKernel {
+	k := &failingKernel{Kernel: faults.Kernel{Kernel: syscalls.Linux{}}}
+	k.Fail = func(c faults.Call, _ int) error {
+		if c == faults.EpollWait {
+			time.Sleep(time.Duration(k.stallBeforePoll.Swap(0)))
+		}
+		if c == faults.Read {
+			time.Sleep(time.Duration(k.stallInRead.Swap(0)))
+		}
+		k.mu.Lock()
+		defer k.mu.Unlock()
+		if c == k.call && time.Now().Before(k.until) {
+			if n := k.failures.Add(1); k.failEveryNth == 0 || n%k.failEveryNth == 0 {
+				return k.errno
+			}
+		}
+		return nil
+	}
+	k.Short = func(_ faults.Call, _, n int) int {
+		if limit := int(k.maxTransfer.Load()); limit > 0 {
+			return limit
+		}
+		return n
+	}
+	syscalls.Default = k
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
+	return k
+}
+
+// failFor lets a system call fail for a while.
+func (k *failingKernel) failFor(call faults.Call, errno syscall.Errno, span time.Duration) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.call = call
+	k.errno = errno
+	k.until = time.Now().Add(span)
+}
+
+// setFailEveryNth lets only each n-th of the calls fail.
+func (k *failingKernel) setFailEveryNth(n int64) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.failEveryNth = n
+}
+
+// newSteppedClock steps the wall clock by the ns that it returns.
+func newSteppedClock(t *testing.T) *atomic.Int64 {
+	var step atomic.Int64
+	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Offset: func() time.Duration { return time.Duration(step.Load()) }}
+	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
+	return &step
+}
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -1,28 +1,21 @@
 package platform
 
 import (
-	"bufio"
-	"encoding/binary"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"net/http/httptest"
-	"strconv"
-	"strings"
-	"sync"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
 
+	"mastchute/control"
 	"mastchute/internal/eventloop/eventlooptest"
-	"mastchute/internal/thrift/thrifttest"
+	"mastchute/internal/membership"
 )
 
+// requestTimeoutMS is the time in ms that clients in these tests give a request.
 const requestTimeoutMS = 2000
 
-// harness is a dispatcher on loopback with scripted workers, clients and change log.
+// harness is a dispatcher on loopback with fake workers, clients and a fake change log.
 type harness struct {
 	t          *testing.T
 	dispatcher *Dispatcher
@@ -30,200 +23,12 @@
 	config     *File
 }
 
-// workerMessage is one message as a worker's socket carried it.
-type workerMessage struct {
-	verb, id, fields, body string
-	conn                   net.Conn
-	at                     time.Time // its first line was read
-}
-
-// workerAction is what a worker does with a message.
-type workerAction func(w net.Conn, m workerMessage)
-
-func writeResponse(w net.Conn, m workerMessage, word, fields, body string) {
-	fmt.Fprintf(w, "%s %s %s %d\r\n%s\r\n", m.id, word, fields, len(body), body)
-}
-
-func respond(word, fields, body string) workerAction {
-	return func(w net.Conn, m workerMessage) { writeResponse(w, m, word, fields, body) }
-}
-
-var (
-	respondServed = respond("served", "detail=resident,use=inflight:1;queue:0", "well")
-	ignore        = workerAction(func(net.Conn, workerMessage) {})
-	resetConn     = workerAction(func(w net.Conn, _ workerMessage) { w.(*net.TCPConn).SetLinger(0); w.Close() })
-)
-
-func writeRaw(text string) workerAction {
-	return func(w net.Conn, m workerMessage) { io.WriteString(w, strings.ReplaceAll(text, "ID", m.id)) }
-}
-
-// fakeWorker is a worker that follows a script for its attempts; the last act repeats.
-type fakeWorker struct {
-	id         string
-	listener   net.Listener
-	mu         sync.Mutex
-	actions    []workerAction
-	loadAction workerAction // for load orders
-	received   []workerMessage
-	accepted   []net.Conn
-}
-
-func newFakeWorker(t *testing.T, id string, acts ...workerAction) *fakeWorker {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &fakeWorker{id: id, listener: ln, actions: acts, loadAction: respond("served", "replicas=1", "")}
-	t.Cleanup(s.close)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			s.accepted = append(s.accepted, c)
-			s.mu.Unlock()
-			go s.serve(c)
-		}
-	}()
-	return s
-}
-
-func (s *fakeWorker) close() {
-	s.listener.Close()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range s.accepted {
-		c.Close()
-	}
-}
-
-func (s *fakeWorker) serve(c net.Conn) {
-	r := bufio.NewReader(c)
-	for {
-		line, err := r.ReadString('\n')
-		if err != nil {
-			return
-		}
-		w := strings.Fields(line)
-		m := workerMessage{verb: w[0], id: w[1], conn: c, at: time.Now()}
-		if len(w) > 2 {
-			m.fields = w[2]
-		}
-		if m.verb == "invoke" {
-			n, _ := strconv.Atoi(w[3])
-			body := make([]byte, n+2)
-			if _, err := io.ReadFull(r, body); err != nil {
-				return
-			}
-			m.body = string(body[:n])
-		}
-		s.mu.Lock()
-		s.received = append(s.received, m)
-		var a workerAction
-		switch m.verb {
-		case "invoke":
-			if a = s.actions[0]; len(s.actions) > 1 {
-				s.actions = s.actions[1:]
-			}
-		case "prewarm":
-			a = s.loadAction
-		case "gauges", "alive":
-			a = respond("green", "use=inflight:1;queue:0", "")
-		}
-		s.mu.Unlock()
-		if a != nil {
-			a(c, m)
-		}
-	}
-}
-
-// messages returns the messages with a verb so far.
-func (s *fakeWorker) messages(verb string) (out []workerMessage) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, m := range s.received {
-		if m.verb == verb {
-			out = append(out, m)
-		}
-	}
-	return out
-}
-
-func (s *fakeWorker) connCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.accepted)
-}
-
-func (s *fakeWorker) memberJSON(state string, up int64) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"std","cell":1,"phase":%q,"size":4,"up_since_ms":%d}`, s.id, s.listener.Addr(), state, up)
-}
-
-// fakeChangeLog is a scripted change log. odd, where set, answers the next poll in its own way.
-type fakeChangeLog struct {
-	server       *httptest.Server
-	mu           sync.Mutex
-	events       []string
-	changed      chan struct{}
-	polls        []int64
-	nextResponse func(w http.ResponseWriter, events string)
-	delay        time.Duration // by which each answer comes late
-}
-
-func newFakeChangeLog(t *testing.T) *fakeChangeLog {
-	l := &fakeChangeLog{changed: make(chan struct{})}
-	l.server = httptest.NewServer(l)
-	t.Cleanup(func() { l.server.CloseClientConnections(); l.server.Close() })
-	return l
-}
-
-func (l *fakeChangeLog) publish(complete bool, members ...string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.events = append(l.events, fmt.Sprintf(`{"seq":%d,"fleet":{"revision":%d,"complete":%v,"members":[%s]}}`, len(l.events)+1, len(l.events)+1, complete, strings.Join(members, ",")))
-	close(l.changed)
-	l.changed = make(chan struct{})
-}
-
-// eventsSince returns an answer with the events after n; on the mutex.
-func (l *fakeChangeLog) eventsSince(n int) string {
-	return fmt.Sprintf(`{"seq":%d,"results":[%s]}`, len(l.events), strings.Join(l.events[min(n, len(l.events)):], ","))
-}
-
-func (l *fakeChangeLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	n, _ := strconv.Atoi(r.URL.Query().Get("since"))
-	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout"))
-	l.mu.Lock()
-	l.polls = append(l.polls, int64(n))
-	more, news := l.changed, len(l.events) > n
-	l.mu.Unlock()
-	if !news {
-		select {
-		case <-more:
-		case <-r.Context().Done():
-			return
-		case <-time.After(time.Duration(wait) * time.Millisecond):
-		}
-	}
-	l.mu.Lock()
-	text, odd, late := l.eventsSince(n), l.nextResponse, l.delay
-	l.nextResponse = nil
-	l.mu.Unlock()
-	time.Sleep(late)
-	if odd != nil {
-		odd(w, text)
-		return
-	}
-	io.WriteString(w, text)
-}
-
+// testGroups are model groups of each effect: read may be retried, write is deduplicated, once may not be retried.
 const testGroups = `[{"name":"read","effect":"pure","aim_us":500000,"deadline_us":2000000,"group":"all","window_us":2000000},
  {"name":"write","effect":"token","aim_us":500000,"deadline_us":2000000,"group":"all","window_us":1000000},
  {"name":"once","effect":"side_effect","aim_us":500000,"deadline_us":2000000,"group":"all","window_us":2000000}]`
 
+// testSettings returns the settings with a mode for requests whose model is not loaded.
 func testSettings(onMiss string) string {
 	return `{"request_classes":` + testGroups + `,"discovery":"automatic","peers_total":1,"resolution_us":2000,"family_info":{"when_absent":"` + onMiss + `","may_order":true,
 	"stays_loaded_us":8000000,"order_limit_us":2000000,"marks_cold":true},"load_report":{"fields":["inflight","queue"],"via":"answers"},
@@ -231,6 +36,7 @@
 	"rules":{"drain_grace_us":1000000,"cold_share":0.2,"warm_after_us":1000000,"overload_factor":2,"fall_us":1000000}}`
 }
 
+// testConfig returns a configuration that has the events of a change log.
 func testConfig(t *testing.T, log *fakeChangeLog, onMiss string) *File {
 	t.Helper()
 	log.mu.Lock()
@@ -244,166 +50,141 @@
 	return f
 }
 
-// newHarness starts a dispatcher whose configuration knows the workers.
+// configJSON returns a configuration file as the platform writes it.
+func configJSON(t *testing.T) string {
+	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
+	"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`, newFakeChangeLog(t).server.Listener.Addr(), testSettings("load"))
+}
+
+// newHarness starts a dispatcher whose configuration has the workers, and waits until it is ready.
 func newHarness(t *testing.T, onMiss string, workers ...*fakeWorker) *harness {
 	t.Helper()
-	r := &harness{t: t, changeLog: newFakeChangeLog(t)}
+	h := &harness{t: t, changeLog: newFakeChangeLog(t)}
 	var list []string
-	for _, w := range workers {
-		list = append(list, w.memberJSON("active", 0))
+	for _, worker := range workers {
+		list = append(list, worker.memberJSON("active", 0))
 	}
-	r.changeLog.publish(true, list...)
-	r.config = testConfig(t, r.changeLog, onMiss)
-	r.start()
-	r.waitFor("it can serve", func() bool { return r.dispatcher.Gateway.Ready() || len(workers) == 0 })
-	return r
+	h.changeLog.publish(true, list...)
+	h.config = testConfig(t, h.changeLog, onMiss)
+	h.start()
+	h.waitFor("it can serve", func() bool { return h.dispatcher.Gateway.Ready() || len(workers) == 0 })
+	return h
 }
 
-// start starts the dispatcher by the rig's file.
-func (r *harness) start() {
-	t := r.t
+// start starts a dispatcher by h.config.
+func (h *harness) start() {
+	t := h.t
 	t.Helper()
+	logger := zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel)
 	var err error
-	if r.dispatcher, err = New(r.config, zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel)); err != nil {
+	h.dispatcher, err = New(h.config, logger)
+	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { r.dispatcher.loopDone <- r.dispatcher.Loop.Run() }()
+	go func() { h.dispatcher.loopDone <- h.dispatcher.Loop.Run() }()
 	t.Cleanup(func() {
-		r.dispatcher.Loop.Stop()
-		if err := <-r.dispatcher.loopDone; err != nil {
+		h.dispatcher.Loop.Stop()
+		if err := <-h.dispatcher.loopDone; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// onLoop runs f on the loop.
-func (r *harness) onLoop(f func()) { r.t.Helper(); eventlooptest.On(r.t, r.dispatcher.Loop, f) }
-
-// waitFor waits for something that is to come about, as seen on the loop.
-func (r *harness) waitFor(what string, f func() bool) {
-	r.t.Helper()
-	eventlooptest.Until(r.t, r.dispatcher.Loop, what, f)
+// onLoop runs f on the loop and waits for it.
+func (h *harness) onLoop(f func()) {
+	h.t.Helper()
+	eventlooptest.On(h.t, h.dispatcher.Loop, f)
 }
 
-// testClient is one connection of a client.
-type testClient struct {
-	t testing.TB
-	net.Conn
-	seq int32
+// waitFor waits until a condition, which is evaluated on the loop, is true. It fails the test after a while.
+func (h *harness) waitFor(what string, condition func() bool) {
+	h.t.Helper()
+	eventlooptest.Until(h.t, h.dispatcher.Loop, what, condition)
 }
 
-func (r *harness) dial() *testClient {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.dispatcher.clients.Addr().String())
+// listEntry returns the entry of the worker list for a worker in a state.
+func (h *harness) listEntry(worker *fakeWorker, state control.WorkerState) membership.Entry {
+	member := &Member{ID: worker.id, HostPort: worker.listener.Addr().String(), Locality: "z", Cell: 1, Phase: "active", Size: 4}
+	entry, err := member.entry(membership.WallClock{}, 0, 0)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Error(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &testClient{t: r.t, Conn: c}
+	entry.State = state
+	return entry
 }
 
-var (
-	lastID      = uint64(0x1000000000000000)
-	lastIDMutex sync.Mutex
-)
-
-func newID() string {
-	lastIDMutex.Lock()
-	defer lastIDMutex.Unlock()
-	lastID++
-	return fmt.Sprintf("%016x", lastID)
+// dropCount returns how many drops were counted for a reason.
+func (h *harness) dropCount(reason string) (count int) {
+	h.onLoop(func() { count = h.dispatcher.clients.dropCounts[reason] })
+	return count
 }
 
-func frame(payload []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
+// respondToPoll handles a text as the change log's response to the poll in flight. It is to be called on the loop.
+func (h *harness) respondToPoll(text string) {
+	watch := h.dispatcher.watch
+	watch.body = append(watch.body[:0], text...)
+	watch.unusable = false
+	watch.call.Cancel()
+	watch.ResponseDone(nil)
 }
 
-// requestFrame is a whole request as clients send it; changes are name=value.
-func requestFrame(seq int32, group, body string, changes ...string) []byte {
-	f := thrifttest.Good()
-	f["route"], f["trace"], f["patience"] = group, newID(), strconv.Itoa(requestTimeoutMS)
-	if group != "write" {
-		delete(f, "nonce")
-	}
-	for _, c := range changes {
-		k, v, _ := strings.Cut(c, "=")
-		f[k] = v
+// listedWorkers returns the names on the worker list. It is to be called on the loop.
+func (h *harness) listedWorkers() (names []string) {
+	for _, worker := range h.dispatcher.Gateway.Members.All() {
+		if worker.Listed {
+			names = append(names, worker.Name)
+		}
 	}
-	return frame(thrifttest.Call(seq, f, []byte(body), false))
+	return names
 }
 
-// send sends a request and returns its number.
-func (c *testClient) send(group, body string, changes ...string) int32 {
-	c.seq++
-	c.Write(requestFrame(c.seq, group, body, changes...))
-	return c.seq
-}
-
-// readReply reads one answer; ok is false where the connection ended instead.
-func (c *testClient) readReply() (a thrifttest.Answer, ok bool) {
-	c.t.Helper()
-	head := make([]byte, 4)
-	if _, err := io.ReadFull(c, head); err != nil {
-		return a, false
-	}
-	b := append(head, make([]byte, binary.BigEndian.Uint32(head))...)
-	if _, err := io.ReadFull(c, b[4:]); err != nil {
-		c.t.Fatalf("an answer cut short: %v", err)
+// allEstablished reports whether no connection to a worker is still being established. It is to be called on the loop.
+func (h *harness) allEstablished() bool {
+	for conn := range h.dispatcher.clients.workers.conns {
+		if !conn.established {
+			return false
+		}
 	}
-	return thrifttest.Decode(c.t, b), true
+	return true
 }
 
-// replyKind is an answer in a word.
-func replyKind(a thrifttest.Answer) string {
-	switch {
-	case a.Kind == 3:
-		return "fault"
-	case a.Field == 0 && a.Good:
-		return "returned"
-	case a.Field == 1:
-		return "shed"
-	case a.Field == 2:
-		return "failed"
+// clientConns returns the clients' connections, the one whose last message is oldest first. It is to be called on the loop.
+func (h *harness) clientConns() (conns []*clientConn) {
+	clients := h.dispatcher.clients
+	for conn := clients.connRing.next; conn != &clients.connRing; conn = conn.next {
+		conns = append(conns, conn)
 	}
-	return "not good"
+	return conns
 }
 
-// roundTrip sends one request on a connection of its own and returns how it ended.
-func (r *harness) roundTrip(group string, changes ...string) (string, thrifttest.Answer) {
-	r.t.Helper()
-	c := r.dial()
-	defer c.Close()
-	seq := c.send(group, "in", changes...)
-	a, ok := c.readReply()
-	if !ok {
-		return "closed", a
-	}
-	if a.Seq != seq {
-		r.t.Errorf("answer to %d, asked %d", a.Seq, seq)
-	}
-	return replyKind(a), a
+// waitIdle waits until nothing is in flight or buffered.
+func (h *harness) waitIdle() {
+	h.t.Helper()
+	h.waitFor("nothing is in flight", func() bool {
+		clients := h.dispatcher.clients
+		return h.dispatcher.Gateway.InFlight() == 0 && clients.bodyBytes == 0 && len(clients.inFlight) == 0
+	})
 }
 
-func (r *harness) expect(group, want string, changes ...string) thrifttest.Answer {
-	r.t.Helper()
-	got, a := r.roundTrip(group, changes...)
-	if got != want {
-		r.t.Errorf("%s: %s %+v, want %s", group, got, a, want)
+// waitEnd waits until the dispatcher has ended without an error.
+func (h *harness) waitEnd() {
+	h.t.Helper()
+	select {
+	case err := <-h.dispatcher.loopDone:
+		if err != nil {
+			h.t.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		h.t.Fatal("the dispatcher does not end")
 	}
-	return a
+	h.dispatcher.loopDone <- nil
 }
 
-func (r *harness) dropCount(why string) (n int) {
-	r.onLoop(func() { n = r.dispatcher.clients.dropCounts[why] })
-	return n
-}
-
-// waitIdle waits until nothing is in flight or held.
-func (r *harness) waitIdle() {
-	r.t.Helper()
-	r.waitFor("nothing is in hand", func() bool {
-		p := r.dispatcher.clients
-		return r.dispatcher.Gateway.InFlight() == 0 && p.bodyBytes == 0 && len(p.inFlight) == 0
-	})
+// answerInFlight passes the response to the attempt in flight to its connection, as if the worker had sent it.
+func (h *harness) answerInFlight() {
+	for _, request := range h.dispatcher.clients.inFlight {
+		for conn := range h.dispatcher.clients.workers.conns {
+			conn.Received(conn.conn, []byte(string(request.id[:])+" served detail=resident 4\r\nwell\r\n"))
+		}
+	}
 }
--- a/internal/platform/send_queue.go
+++ b/internal/platform/send_queue.go
@@ -52,14 +52,14 @@
 func (t *workerTransport) scheduleDrain() {
 	if !t.drainScheduled {
 		t.drainScheduled = true
-		t.pool.transport.loop.Defer(t.drainQueueFunc)
+		t.pool.loop.Defer(t.drainQueueFunc)
 	}
 }
 
 // drainQueue writes queued calls to connections with capacity, and opens connections if there are too few.
 func (t *workerTransport) drainQueue() {
 	t.drainScheduled = false
-	if t.pool.transport.sendsHeld() {
+	if t.pool.clients.sendsHeld() {
 		t.pool.awaitingRelease = append(t.pool.awaitingRelease, t)
 		return
 	}
@@ -81,7 +81,7 @@
 func (t *workerTransport) writeQueued(call *workerCall, conn *workerConn) {
 	call.queued = false
 	if call.attempt != nil {
-		now := t.pool.transport.loop.Clock()
+		now := t.pool.loop.Clock()
 		if call.attempt.CheckFirstByte(now, now, 0) != rules.Allowed {
 			call.finish(control.NotSent)
 			return
--- /dev/null
+++ b/internal/platform/stop_test.go
@@ -0,0 +1,140 @@
+package platform
+
+import (
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"mastchute/internal/lifecycle"
+)
+
+// In a graceful shutdown clients that still connect for a while are answered, and the loop ends by itself.
+func TestStopAnswersAll(t *testing.T) {
+	worker := newFakeWorker(t, "w1", func(conn net.Conn, message workerMessage) {
+		time.Sleep(300 * time.Millisecond)
+		respondServed(conn, message)
+	})
+	h := newHarness(t, "load", worker)
+	before := h.dial()
+	before.send("once", "in")
+	h.onLoop(h.dispatcher.Stop)
+	after := h.dial()
+	after.send("once", "in")
+	for _, client := range []*testClient{before, after} {
+		if reply, ok := client.readReply(); !ok || replyKind(reply) != "returned" {
+			t.Errorf("%+v %v", reply, ok)
+		}
+	}
+	if err := <-h.dispatcher.loopDone; err != nil || h.dispatcher.Gateway.ExitStatus().FailedRequests > 0 {
+		t.Errorf("%v %+v", err, h.dispatcher.Gateway.ExitStatus())
+	}
+	h.dispatcher.loopDone <- nil
+}
+
+// Before the platform kills the process every request in flight has its final reply: shed if it was never sent to a worker,
+// failed if it may have run.
+func TestStopAnswersBeforeKill(t *testing.T) {
+	worker := newFakeWorker(t, "w1", ignore)
+	h := newHarness(t, "load", worker)
+	h.onLoop(func() { h.dispatcher.maxTimeout = 60 })
+	sent := h.dial()
+	sent.send("once", "in", "patience=60000")
+	h.waitFor("the attempt is sent", func() bool { return len(worker.messages("invoke")) == 1 })
+	unsent := h.dial()
+	h.changeLog.publish(false, worker.memberJSON("leaving", 0)) // no worker is left for another request
+	h.waitFor("the drain is applied", func() bool { return !h.dispatcher.Gateway.Ready() })
+	unsent.send("once", "in", "patience=60000")
+	h.waitFor("both are in flight", func() bool { return h.dispatcher.Gateway.InFlight() == 2 })
+	h.onLoop(h.dispatcher.Stop)
+	h.onLoop(func() {
+		h.dispatcher.stopTimer.Fire()
+		h.dispatcher.Gateway.Stop(0)
+	})
+	for timeout, kill := range map[float64]float64{0.5: 1.2, 3: 3.7, 9: 3.7} { // the platform kills so long after SIGTERM
+		if end := lifecycle.PlanStop(stopTimes, timeout).AnswerBy; end > kill-0.1 || end < kill-0.5 {
+			t.Errorf("timeout %g: all is answered %g s after SIGTERM, and the kill comes after %g s", timeout, end, kill)
+		}
+	}
+	if reply, ok := unsent.readReply(); !ok || replyKind(reply) != "shed" {
+		t.Errorf("never sent: %+v %v", reply, ok)
+	}
+	if reply, ok := sent.readReply(); !ok || replyKind(reply) != "failed" {
+		t.Errorf("sent: %+v %v", reply, ok)
+	}
+	h.waitEnd()
+}
+
+// While draining, requests that were sent in time are answered: on connections in the listen backlog, unread on an open
+// connection, and on one of which a part has arrived.
+func TestDrainAnswersAllThatWasSent(t *testing.T) {
+	worker := newFakeWorker(t, "w1", ignore)
+	h := newHarness(t, "load", worker)
+	open := h.dial()
+	partial := h.dial()
+	for _, client := range []*testClient{open, partial} {
+		client.Write(aliveFrame(1))
+		if reply, ok := client.readReply(); !ok || !reply.Good {
+			t.Fatalf("%+v %v", reply, ok)
+		}
+		client.seq = 1
+	}
+	whole := requestFrame(2, "once", "in")
+	partial.Write(whole[:50])
+	h.waitFor("a part has arrived", func() bool {
+		return slices.ContainsFunc(h.clientConns(), func(conn *clientConn) bool { return conn.partialMessage })
+	})
+	var waiting []*testClient
+	h.onLoop(func() { // the loop is blocked meanwhile: nothing is accepted or read
+		for range 100 {
+			client := h.dial()
+			client.send("once", "in")
+			waiting = append(waiting, client)
+		}
+		open.send("once", "in")
+		h.dispatcher.Gateway.Stop(5)
+		h.dispatcher.clients.closeDrained()
+	})
+	partial.Write(whole[50:])
+	for _, client := range append(waiting, open, partial) {
+		if reply, ok := client.readReply(); !ok || replyKind(reply) != "shed" {
+			t.Errorf("%+v, open %v", reply, ok)
+		}
+	}
+	h.waitEnd()
+}
+
+// Responses that are partly sent when shutdown begins are sent completely, however late their client reads.
+func TestStopFlushesPartlySentResponses(t *testing.T) {
+	const size = 50 << 10
+	body := make([]byte, size)
+	worker := newFakeWorker(t, "w1", respond("served", "detail=resident", string(body)))
+	h := newHarness(t, "load", worker)
+	slow := h.dialAccepted()
+	unsentBytes := func() (n int) {
+		for _, conn := range h.clientConns() {
+			n += conn.conn.UnsentBytes()
+		}
+		return n
+	}
+	responses, unsent := 0, 0
+	for ; unsent == 0 && responses < 500; responses++ {
+		slow.send("read", "in")
+		h.waitFor("the response is written", func() bool {
+			unsent = unsentBytes()
+			return h.dispatcher.Gateway.InFlight() == 0
+		})
+	}
+	if unsent == 0 {
+		t.Fatal("the kernel accepts all bytes")
+	}
+	h.onLoop(h.dispatcher.Stop)
+	h.onLoop(func() { h.dispatcher.stopTimer.Fire() })
+	h.onLoop(h.dispatcher.clients.closeDrained)
+	for i := range responses {
+		if reply, ok := slow.readReply(); !ok || replyKind(reply) != "returned" || len(reply.Body) != size {
+			t.Fatalf("response %d: %s of %d bytes, open %v", i, replyKind(reply), len(reply.Body), ok)
+		}
+	}
+	h.waitEnd()
+}
--- /dev/null
+++ b/internal/platform/unsent_attempt_test.go
@@ -0,0 +1,221 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"mastchute/control"
+	"mastchute/internal/membership"
+)
+
+// interceptAttempt sends one request and calls then at an exact place of the loop's turn: after the request's attempt was
+// queued, in the turn in which the connection is opened (established false), or after the attempt was written to an
+// established connection and before it is flushed (established true).
+func (h *harness) interceptAttempt(client *testClient, group string, established bool, then func(request *clientRequest)) {
+	h.t.Helper()
+	done := make(chan struct{})
+	h.onLoop(func() {
+		loop := h.dispatcher.Loop
+		clients := h.dispatcher.clients
+		afterEvents := loop.AfterEvents
+		client.send(group, "in")
+		for _, conn := range h.clientConns() {
+			conn.conn.ReadNow()
+		}
+		if len(clients.inFlight) != 1 {
+			h.t.Errorf("%d requests in flight", len(clients.inFlight))
+		}
+		var accepted *clientRequest
+		for _, request := range clients.inFlight {
+			accepted = request
+		}
+		loop.AfterEvents = func() {
+			loop.AfterEvents = afterEvents
+			afterEvents() // the decisions order the attempt, and drainQueue is scheduled
+			intercept := func() {
+				then(accepted)
+				close(done)
+			}
+			if established {
+				loop.Defer(intercept) // after drainQueue has written, before the flush
+			} else {
+				loop.Defer(func() { loop.Defer(intercept) }) // after drainQueue has begun to connect
+			}
+		}
+	})
+	<-done
+}
+
+// An attempt of which nothing was sent is never sent after its end, whatever ended it and wherever it waits.
+func TestCancelledAttemptIsNeverSent(t *testing.T) {
+	for name, cancel := range map[string]func(h *harness, request *clientRequest, worker *fakeWorker){
+		"the client closes": func(_ *harness, request *clientRequest, _ *fakeWorker) {
+			conn := request.conn
+			conn.conn.Close()
+			conn.Closed(nil, io.EOF)
+		},
+		"the client cancels": func(_ *harness, request *clientRequest, _ *fakeWorker) {
+			request.conn.abandon(request)
+		},
+		"the decisions fail": func(h *harness, request *clientRequest, _ *fakeWorker) {
+			h.dispatcher.Gateway.Fail(request.request.ID())
+		},
+		"the worker drains": func(h *harness, _ *clientRequest, worker *fakeWorker) {
+			h.respondToPoll(`{"seq":2,"results":[{"seq":2,"fleet":{"members":[` + worker.memberJSON("leaving", 0) + `]}}]}`)
+		},
+		"the worker is gone": func(h *harness, _ *clientRequest, worker *fakeWorker) {
+			h.respondToPoll(`{"seq":2,"results":[{"seq":2,"fleet":{"members":[` + worker.memberJSON("left", 0) + `]}}]}`)
+		},
+	} {
+		for _, established := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, connection established %v", name, established), func(t *testing.T) {
+				worker := newFakeWorker(t, "w1", respondServed)
+				h := newHarness(t, "load", worker)
+				before := 0
+				if established {
+					h.expect("read", "returned")
+					before = 1
+				}
+				h.interceptAttempt(h.dialAccepted(), "once", established, func(request *clientRequest) { cancel(h, request, worker) })
+				h.waitFor("connections are established and the request has ended", func() bool {
+					return h.allEstablished() && (h.dispatcher.Gateway.InFlight() == 0 || name != "the client closes")
+				})
+				// The worker reads in order: what was sent on a connection arrives before a probe that is sent on it now.
+				probes := 0
+				h.onLoop(func() {
+					for conn := range h.dispatcher.clients.workers.conns {
+						conn.conn.Write([]byte("gauges z\r\n"))
+						probes++
+					}
+				})
+				for len(worker.messages("gauges")) < probes {
+					h.onLoop(func() {})
+				}
+				if n := len(worker.messages("invoke")); n != before {
+					t.Errorf("%d attempts sent, want %d", n, before)
+				}
+			})
+		}
+	}
+}
+
+// Rule 3: an attempt that waits for a connection when its worker begins to drain is not sent, and retried elsewhere.
+func TestNoAttemptIsSentToDrainingWorker(t *testing.T) {
+	draining := newFakeWorker(t, "w1", respondServed)
+	other := newFakeWorker(t, "w2", respondServed)
+	h := newHarness(t, "load", draining)
+	h.onLoop(func() { // the drain begins in the turn in which the attempt is queued for its connection
+		afterEvents := h.dispatcher.Loop.AfterEvents
+		done := false
+		h.dispatcher.Loop.AfterEvents = func() {
+			afterEvents()
+			if done || h.dispatcher.Gateway.Status().Workers[0].Queued == 0 {
+				return
+			}
+			done = true
+			entries := []membership.Entry{h.listEntry(draining, control.Draining), h.listEntry(other, control.Ready)}
+			err := h.dispatcher.Gateway.UpdateWorkers(membership.SourceChangeLog, entries)
+			if err != nil {
+				t.Error(err)
+			}
+		}
+	})
+	h.expect("once", "returned")
+	if len(draining.messages("invoke")) != 0 || len(other.messages("invoke")) != 1 {
+		t.Errorf("%d attempts at the draining worker, %d at the other", len(draining.messages("invoke")), len(other.messages("invoke")))
+	}
+}
+
+// A client that closed its side has disconnected: no more attempts are sent for the requests that it sent before.
+func TestHalfCloseBehindOtherBytes(t *testing.T) {
+	worker := newFakeWorker(t, "w1", ignore, respond("overload", "-", ""))
+	h := newHarness(t, "load", worker)
+	client := h.dialAccepted()
+	var all []byte
+	for seq := int32(2); seq < 12; seq++ {
+		all = append(all, requestFrame(seq, "once", "in")...)
+	}
+	client.Write(all)
+	client.Conn.(*net.TCPConn).CloseWrite()
+	h.waitIdle()
+	before := len(worker.messages("invoke"))
+	h.onLoop(func() {})
+	after := len(worker.messages("invoke"))
+	if after > before+1 {
+		t.Errorf("%d attempts after the client had disconnected", after-before)
+	}
+}
+
+// onQueuedRetries calls f at the end of each turn for every retry that waits for a connection.
+func (h *harness) onQueuedRetries(f func(call *workerCall)) {
+	h.onLoop(func() {
+		afterEvents := h.dispatcher.Loop.AfterEvents
+		h.dispatcher.Loop.AfterEvents = func() {
+			afterEvents()
+			for conn := range h.dispatcher.clients.workers.conns {
+				for _, call := range conn.transport.queue {
+					if call.attempt != nil && call.attempt.Index > 0 {
+						f(call)
+					}
+				}
+			}
+		}
+	})
+}
+
+// A retry of a deduplicated request is not sent if the deduplication window ends while it waits for a connection. The
+// window begins with the first attempt that may have run.
+func TestNoRetryAfterDedupWindow(t *testing.T) {
+	worker := newFakeWorker(t, "w1", resetConn, respondServed)
+	h := newHarness(t, "load", worker)
+	checked := 0
+	h.onQueuedRetries(func(call *workerCall) {
+		left := call.attempt.SendDeadline - h.dispatcher.Loop.Now()
+		if checked == 0 && (left > 1 || left < 0.5) {
+			t.Errorf("a window of 1 s ends in %g s", left)
+		}
+		checked++
+		call.attempt.SendDeadline = h.dispatcher.Loop.Now() - 0.001 // the connection is established a moment too late
+	})
+	got, _ := h.roundTrip("write")
+	if got != "shed" && got != "failed" {
+		t.Errorf("the request was %s", got)
+	}
+	h.waitIdle()
+	h.onLoop(func() {
+		if n := len(worker.messages("invoke")); n != 1 || checked == 0 {
+			t.Errorf("%d attempts sent, %d retries checked", n, checked)
+		}
+	})
+}
+
+// If the window ends while a retry waits for a connection that is never established, the client gets its reply then, and
+// not at the end of the connect timeout.
+func TestEndOfDedupWindowIsAnsweredAtOnce(t *testing.T) {
+	worker := newFakeWorker(t, "w1", resetConn)
+	h := newHarness(t, "load", worker)
+	hole, _ := newBlackhole(t)
+	h.onLoop(func() { h.dispatcher.clients.workers.connectTimeout = 60 })
+	h.onQueuedRetries(func(call *workerCall) {
+		if call.transport.addr == hole {
+			return
+		}
+		call.transport.addr = hole
+		for conn := range h.dispatcher.clients.workers.conns { // it would be established
+			call.transport.removeConn(conn)
+			conn.conn.Close()
+		}
+		call.transport.scheduleDrain()
+	})
+	start := time.Now()
+	got, _ := h.roundTrip("write", "patience=20000")
+	if took := time.Since(start); got == "returned" || took > 1700*time.Millisecond {
+		t.Errorf("%s after %v", got, took)
+	}
+	if n := len(worker.messages("invoke")); n != 1 {
+		t.Errorf("%d attempts sent", n)
+	}
+}
--- /dev/null
+++ b/internal/platform/watch_client_test.go
@@ -0,0 +1,74 @@
+package platform
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// The backoff of failed polls doubles within bounds, and two dispatchers draw different jitter.
+func TestPollsBackOffWithJitter(t *testing.T) {
+	backoff := 0.0
+	for i, want := range []float64{0.05, 0.1, 0.2, 0.4, 0.8, 1, 1} {
+		backoff = nextBackoff(backoff, true)
+		if math.Abs(backoff-want) > 1e-9 {
+			t.Errorf("backoff %d is %g, want %g", i, backoff, want)
+		}
+		shortest := pollDelay(backoff, 0, 9)
+		longest := pollDelay(backoff, 1, 9)
+		if math.Abs(shortest-backoff/2) > 1e-9 || math.Abs(longest-backoff) > 1e-9 {
+			t.Errorf("the delay for a backoff of %g is from %g to %g", backoff, shortest, longest)
+		}
+	}
+	backoff = nextBackoff(backoff, false)
+	if backoff != 0 || pollDelay(backoff, 0.5, 0.005) != minPollInterval-0.005 || pollDelay(backoff, 0.5, 1) != 0 {
+		t.Errorf("after a good poll: %g, %g, %g", backoff, pollDelay(backoff, 0.5, 0.005), pollDelay(backoff, 0.5, 1))
+	}
+	first := newHarness(t, "load")
+	second := &harness{t: t, changeLog: newFakeChangeLog(t)}
+	second.config = testConfig(t, second.changeLog, "load")
+	second.config.seed++ // the platform gives each dispatcher its own
+	second.start()
+	var firstDraw, secondDraw float64
+	first.onLoop(func() { firstDraw = first.dispatcher.Gateway.RandomFloat() })
+	second.onLoop(func() { secondDraw = second.dispatcher.Gateway.RandomFloat() })
+	if firstDraw == secondDraw {
+		t.Error("two dispatchers draw the same")
+	}
+}
+
+// The time that a response may take doubles with each timeout, and then follows what responses take.
+func TestResponseSlackFollowsChangeLog(t *testing.T) {
+	slack := minResponseSlack
+	for range 10 {
+		slack = nextResponseSlack(slack, true, 0)
+	}
+	if slack != maxResponseSlack {
+		t.Errorf("%g s after timeouts", slack)
+	}
+	slack = nextResponseSlack(slack, false, 1.2)
+	if slack != 2.4 {
+		t.Errorf("%g s after a response 1.2 s late", slack)
+	}
+	slack = nextResponseSlack(slack, false, 0)
+	if slack != minResponseSlack {
+		t.Errorf("%g s after a response in time", slack)
+	}
+}
+
+// A change log that responds seconds late is followed, as the response to each poll is waited for longer.
+func TestSlowChangeLogIsFollowed(t *testing.T) {
+	worker := newFakeWorker(t, "w1", respondServed)
+	h := newHarness(t, "load", worker)
+	h.changeLog.mu.Lock()
+	h.changeLog.delay = 2 * time.Second
+	h.changeLog.mu.Unlock()
+	h.changeLog.publish(false, worker.memberJSON("leaving", 0))
+	deadline := time.Now().Add(7 * time.Second)
+	for applied := false; !applied; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the event is not applied after 7 s")
+		}
+		h.onLoop(func() { applied = h.dispatcher.watch.lastSeq == 2 })
+	}
+}
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -57,7 +57,7 @@
 // Closed implements eventloop.Handler.
 func (c *workerConn) Closed(_ *eventloop.Conn, err error) {
 	if !c.established { // nothing was sent on it
-		c.transport.pool.transport.gateway.RecordEvent("worker_connect_failed", closeReason(err), nil, c.transport.worker, 0)
+		c.transport.pool.gateway.RecordEvent("worker_connect_failed", closeReason(err), nil, c.transport.worker, 0)
 		c.transport.connectFailed(c, err)
 		return
 	}
@@ -70,7 +70,7 @@
 	if c.closed {
 		return
 	}
-	c.transport.pool.transport.gateway.RecordEvent("worker_closed", reason, nil, c.transport.worker, float64(len(c.inFlight)))
+	c.transport.pool.gateway.RecordEvent("worker_closed", reason, nil, c.transport.worker, float64(len(c.inFlight)))
 	c.transport.removeConn(c)
 	sentBytes := c.conn.SentBytes()
 	c.conn.Close()
@@ -93,20 +93,19 @@
 // connection is offered to other workers' transports, or closed if its own has been closed.
 func (c *workerConn) resetTimer() {
 	pool := c.transport.pool
-	loop := pool.transport.loop
 	switch {
 	case c.closed || !c.established:
 	case c.partialResponse:
 		if !c.timer.Pending() {
 			c.pausesAtStart = c.conn.ReadPauses()
-			loop.Start(&c.timer, partialResponseTimeout)
+			pool.loop.Start(&c.timer, partialResponseTimeout)
 		}
 	case len(c.inFlight) > 0:
-		loop.Cancel(&c.timer)
+		pool.loop.Cancel(&c.timer)
 	case c.transport.closed:
 		c.close(control.NotSent, reasonIdle)
 	default:
-		loop.Start(&c.timer, pool.idleTimeout)
+		pool.loop.Start(&c.timer, pool.idleTimeout)
 		pool.onCapacityFreed()
 	}
 }
@@ -117,7 +116,7 @@
 	case c.partialResponse && c.conn.ReadPauses() != c.pausesAtStart: // this machine's reads failed: the worker is not at fault
 		c.resetTimer()
 	case c.partialResponse:
-		c.transport.pool.transport.countDrop(reasonResponseStalled)
+		c.transport.pool.clients.countDrop(reasonResponseStalled)
 		c.close(control.ConnectionReset, reasonResponseStalled)
 	default:
 		c.close(control.ConnectionReset, reasonIdle)
@@ -127,11 +126,11 @@
 // Received implements eventloop.Handler. It handles the complete responses in data and returns how many bytes they take.
 func (c *workerConn) Received(_ *eventloop.Conn, data []byte) int {
 	used := 0
-	transport := c.transport.pool.transport
+	pool := c.transport.pool
 	for !c.closed {
 		response, n, err := workerproto.ReadResponse(data[used:])
 		if err != nil {
-			transport.countDrop(reasonResponseMalformed)
+			pool.clients.countDrop(reasonResponseMalformed)
 			c.close(control.ConnectionReset, reasonResponseMalformed)
 			break
 		}
@@ -140,7 +139,7 @@
 		}
 		used += n
 		c.partialResponse = false
-		transport.loop.Cancel(&c.timer)
+		pool.loop.Cancel(&c.timer)
 		c.handleResponse(&response)
 	}
 	if c.closed {
@@ -155,7 +154,7 @@
 func (c *workerConn) handleResponse(response *workerproto.Response) {
 	call := c.takeCall(response.ID)
 	if call == nil {
-		c.transport.pool.transport.countDrop(reasonUnexpectedResponse)
+		c.transport.pool.clients.countDrop(reasonUnexpectedResponse)
 		return
 	}
 	if len(c.transport.queue) > 0 {
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -1,6 +1,10 @@
 package platform
 
-import "mastchute/control"
+import (
+	"mastchute/control"
+	"mastchute/internal/eventloop"
+	"mastchute/internal/gateway"
+)
 
 // idleTimeoutFraction is the part of the workers' idle timeout after which idle connections are closed here: the worker's
 // own close could cross with an attempt.
@@ -8,7 +12,9 @@
 
 // workerPool holds the state that the transports to all workers share: their settings and the budget of descriptors.
 type workerPool struct {
-	transport          *clientTransport
+	clients            *clientTransport
+	gateway            *gateway.Gateway
+	loop               *eventloop.Loop
 	maxStreams         int      // calls in flight on one connection
 	connectTimeout     float64  // s
 	idleTimeout        float64  // s
@@ -22,7 +28,9 @@
 
 func (p *workerPool) init(t *clientTransport, f *File) {
 	c := f.host()
-	p.transport = t
+	p.clients = t
+	p.gateway = t.gateway
+	p.loop = t.loop
 	p.loadReportFields = c.Report
 	p.conns = map[*workerConn]struct{}{}
 	p.maxStreams = int(f.positive("limits.streams_per_conn", streamsUsual))
--- a/internal/platform/worker_send.go
+++ b/internal/platform/worker_send.go
@@ -9,19 +9,19 @@
 )
 
 // scratch returns the client transport's buffer, empty. It is valid until the next call of write.
-func (c *workerConn) scratch() []byte { return c.transport.pool.transport.scratch[:0] }
+func (c *workerConn) scratch() []byte { return c.transport.pool.clients.scratch[:0] }
 
 // write queues a message that was appended to scratch; it is flushed at the end of the loop's turn.
 func (c *workerConn) write(message []byte) {
 	c.conn.Write(message)
 	if cap(message) <= maxScratchBytes {
-		c.transport.pool.transport.scratch = message[:0]
+		c.transport.pool.clients.scratch = message[:0]
 	}
 }
 
 // writeCall writes a call to the connection. One that has no response finishes later in this turn of the loop.
 func (c *workerConn) writeCall(call *workerCall) {
-	loop := c.transport.pool.transport.loop
+	loop := c.transport.pool.loop
 	now := loop.Clock()
 	message, hasResponse := appendCall(c.scratch(), call, now)
 	call.writtenAt = now
@@ -62,7 +62,7 @@
 // what the rules allow, and the deadline in the message gets out of date: the worker may be slow to read, or the loop may
 // have been busy. So each call of which some bytes are unsent is checked again.
 func (c *workerConn) BeforeWrite(conn *eventloop.Conn) {
-	now := c.transport.pool.transport.loop.Clock()
+	now := c.transport.pool.loop.Clock()
 	sent := conn.SentBytes()
 	for i := len(c.inFlight) - 1; i >= 0; i-- {
 		call := c.inFlight[i]
--- a/internal/platform/worker_transport.go
+++ b/internal/platform/worker_transport.go
@@ -97,7 +97,7 @@
 	call.cancel()
 	call.writtenAt = 0
 	call.queued = true
-	t.pool.transport.loop.Defer(func() {
+	t.pool.loop.Defer(func() {
 		if call.transport == t && call.queued {
 			call.queued = false
 			call.finish(control.NotSent)
@@ -198,7 +198,7 @@
 	conn.timer.Fire = conn.timerExpired
 	t.conns = append(t.conns, conn)
 	t.pool.conns[conn] = struct{}{}
-	conn.conn = t.pool.transport.loop.Dial(t.addr, t.pool.connectTimeout, conn)
+	conn.conn = t.pool.loop.Dial(t.addr, t.pool.connectTimeout, conn)
 }
 
 // connectFailed finishes the queued calls, unless another connection may still carry them. A failure on this machine is not
@@ -208,7 +208,7 @@
 	var localErr *eventloop.LocalError
 	if errors.As(err, &localErr) {
 		result = control.NotSent
-		t.pool.transport.countDrop(reasonLocalConnectFailure)
+		t.pool.clients.countDrop(reasonLocalConnectFailure)
 	}
 	t.removeConn(conn)
 	if len(t.conns) > 0 {
@@ -226,7 +226,7 @@
 // removeConn takes a closed connection out of the transport and the pool.
 func (t *workerTransport) removeConn(conn *workerConn) {
 	conn.closed = true
-	t.pool.transport.loop.Cancel(&conn.timer)
+	t.pool.loop.Cancel(&conn.timer)
 	for i, other := range t.conns {
 		if other == conn {
 			t.conns = append(t.conns[:i], t.conns[i+1:]...)
