--- a/internal/platform/client_capacity_test.go
+++ b/internal/platform/client_capacity_test.go
@@ -45,7 +45,7 @@
 	idle := h.dial()
 	for _, client := range []*testClient{busy, idle} {
 		client.Write(aliveFrame(1))
-		if reply, ok := client.readReply(); !ok || !reply.Good {
+		if reply, ok := client.readReply(); !ok || !reply.Success {
 			t.Fatalf("%+v %v", reply, ok)
 		}
 	}
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -108,7 +108,7 @@
 // so its requests are abandoned. In case it still reads, each of them gets a final response first.
 func (c *clientConn) PeerClosed(conn *eventloop.Conn) {
 	for request := c.firstRequest; request != nil; request = request.next {
-		c.write(thrift.AppendFailed(c.scratch(), request.seqID, "the client closed its side"))
+		c.write(thrift.AppendFailure(c.scratch(), request.seqID, "the client closed its side"))
 	}
 	if conn.UnsentBytes() > 0 {
 		c.closeAfterFlush(reasonPeerClosed)
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -33,7 +33,7 @@
 		{"no protocol", "unreadable", frame([]byte("hello, are you there?"))},
 		{"cut message", "unreadable", frame(requestFrame(1, "read", "in")[4:40])},
 		{"unknown group", "unknown_group", requestFrame(1, "nope", "in")},
-		{"no mark", "no_mark", frame(thrifttest.Call(1, map[string]string{"route": "write", "trace": newID(), "patience": "500", "entity": "7f3a9c21e0b4d655"}, nil, false))},
+		{"no mark", "no_mark", frame(thrifttest.Dispatch(1, map[string]string{"route": "write", "trace": newID(), "patience": "500", "entity": "7f3a9c21e0b4d655"}, nil, false))},
 		{"bad figure", "unusable", requestFrame(1, "read", "in", "patience=NaN")},
 		{"no id", "unusable", requestFrame(1, "read", "in", "trace=")},
 		{"number in use", "number_in_use", append(requestFrame(1, "read", "in"), requestFrame(1, "read", "in")...)},
@@ -159,7 +159,7 @@
 		if !ok || replyKind(reply) != "failed" {
 			t.Errorf("%+v %v", reply, ok)
 		}
-		seqs[reply.Seq] = true
+		seqs[reply.SeqID] = true
 	}
 	if _, ok := client.readReply(); ok || len(seqs) != 3 {
 		t.Errorf("%d requests answered, one more reply: %v", len(seqs), ok)
--- a/internal/platform/client_messages.go
+++ b/internal/platform/client_messages.go
@@ -60,7 +60,7 @@
 	message, err := thrift.ReadMessage(payload)
 	if err != nil {
 		c.transport.countDrop(reasonUnreadable)
-		c.write(thrift.AppendException(c.scratch(), message.Seq, err.Error()))
+		c.write(thrift.AppendException(c.scratch(), message.SeqID, err.Error()))
 		c.closeAfterFlush(reasonUnreadable)
 		return 0, false
 	}
@@ -75,15 +75,15 @@
 func (c *clientConn) handleMessage(message *thrift.Message) {
 	transport := c.transport
 	switch {
-	case message.Method == thrift.Alive && message.Fault == nil:
-		c.write(thrift.AppendAlive(c.scratch(), message.Seq, transport.isAlive()))
-	case message.Method == thrift.Cancel:
-		if request := c.findRequest(message.Target); request != nil && message.Fault == nil {
+	case message.Method == thrift.MethodAlive && message.Fault == nil:
+		c.write(thrift.AppendAlive(c.scratch(), message.SeqID, transport.isAlive()))
+	case message.Method == thrift.MethodCancel:
+		if request := c.findRequest(message.CancelSeqID); request != nil && message.Fault == nil {
 			c.abandon(request)
 		}
 	case message.Fault != nil:
-		c.rejectMessage(reasonUnusable, message.Seq, message.Fault.Error())
-	case c.findRequest(message.Seq) != nil: // the client could take the response of one for the other's
+		c.rejectMessage(reasonUnusable, message.SeqID, message.Fault.Error())
+	case c.findRequest(message.SeqID) != nil: // the client could take the response of one for the other's
 		transport.countDrop(reasonSequenceInUse)
 		c.closeNow(reasonSequenceInUse)
 	case c.requestCount >= maxRequestsPerConn:
@@ -127,11 +127,11 @@
 func (c *clientConn) checkGroup(message *thrift.Message) (group int, ok bool) {
 	group, ok = c.transport.groups[string(message.Group)]
 	if !ok {
-		c.rejectMessage(reasonUnknownGroup, message.Seq, "no such model group")
+		c.rejectMessage(reasonUnknownGroup, message.SeqID, "no such model group")
 		return 0, false
 	}
 	if c.transport.deduped[group] && len(message.IdempotencyKey) == 0 {
-		c.rejectMessage(reasonNoIdempotencyKey, message.Seq, "a deduped inference needs its mark")
+		c.rejectMessage(reasonNoIdempotencyKey, message.SeqID, "a deduped inference needs its mark")
 		return 0, false
 	}
 	return group, true
@@ -148,7 +148,7 @@
 		c.closeNow(reasonIDInUse) // the client does not keep its own requests apart
 		return false
 	}
-	c.rejectMessage(reasonIDInUse, message.Seq, "an inference with this id is open")
+	c.rejectMessage(reasonIDInUse, message.SeqID, "an inference with this id is open")
 	return false
 }
 
@@ -156,7 +156,7 @@
 func (c *clientConn) admit(message *thrift.Message, group int) (model *gateway.Model, ok bool) {
 	transport := c.transport
 	if !transport.canAccept(len(message.Body)) {
-		c.shed(reasonFull, message.Seq)
+		c.shed(reasonFull, message.SeqID)
 		return nil, false
 	}
 	model = transport.gateway.FindModel(message.Model)
@@ -165,7 +165,7 @@
 	}
 	model, err := transport.gateway.AddModel(gateway.Model{Name: string(message.Model), ID: parseModelID(message.Model), Group: group})
 	if err != nil {
-		c.shed(reasonTooManyModels, message.Seq)
+		c.shed(reasonTooManyModels, message.SeqID)
 		return nil, false
 	}
 	return model, true
@@ -182,7 +182,7 @@
 	transport := c.transport
 	request := transport.newRequest()
 	request.conn = c
-	request.seqID = message.Seq
+	request.seqID = message.SeqID
 	request.id = id
 	request.group = append(request.group[:0], message.Group...)
 	request.idempotencyKey = append(request.idempotencyKey[:0], message.IdempotencyKey...)
--- a/internal/platform/client_request.go
+++ b/internal/platform/client_request.go
@@ -85,7 +85,7 @@
 
 // WriteResponse implements gateway.ResponseWriter.
 func (r *clientRequest) WriteResponse(_ *gateway.Request, attempt *gateway.Attempt) {
-	r.conn.write(thrift.AppendReturned(r.conn.scratch(), r.seqID, attempt.ResponseBody))
+	r.conn.write(thrift.AppendResponse(r.conn.scratch(), r.seqID, attempt.ResponseBody))
 	r.release()
 }
 
@@ -97,6 +97,6 @@
 
 // WriteFailure implements gateway.ResponseWriter.
 func (r *clientRequest) WriteFailure(_ *gateway.Request, _ bool, why string) {
-	r.conn.write(thrift.AppendFailed(r.conn.scratch(), r.seqID, why))
+	r.conn.write(thrift.AppendFailure(r.conn.scratch(), r.seqID, why))
 	r.release()
 }
--- a/internal/platform/fake_client_test.go
+++ b/internal/platform/fake_client_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"context"
 	"encoding/binary"
 	"fmt"
 	"io"
@@ -12,8 +11,6 @@
 	"testing"
 	"time"
 
-	lib "github.com/apache/thrift/lib/go/thrift"
-
 	"mastchute/internal/thrift/thrifttest"
 )
 
@@ -77,7 +74,7 @@
 
 // requestFrame returns a request as clients send it. Changes are fields as name=value.
 func requestFrame(seq int32, group, body string, changes ...string) []byte {
-	fields := thrifttest.Good()
+	fields := thrifttest.ValidFields()
 	fields["route"] = group
 	fields["trace"] = newID()
 	fields["patience"] = strconv.Itoa(requestTimeoutMS)
@@ -88,18 +85,11 @@
 		name, value, _ := strings.Cut(change, "=")
 		fields[name] = value
 	}
-	return frame(thrifttest.Call(seq, fields, []byte(body), false))
+	return frame(thrifttest.Dispatch(seq, fields, []byte(body), false))
 }
 
 // aliveFrame returns a client's health check.
-func aliveFrame(seq int32) []byte {
-	return frame(thrifttest.Message(func(p *lib.TBinaryProtocol) {
-		p.WriteMessageBegin(context.Background(), "alive", lib.CALL, seq)
-		p.WriteFieldBegin(context.Background(), "", lib.BOOL, 1)
-		p.WriteBool(context.Background(), true)
-		p.WriteFieldStop(context.Background())
-	}))
-}
+func aliveFrame(seq int32) []byte { return frame(thrifttest.Alive(seq)) }
 
 // cancelFrame returns the cancellation of a request.
 func cancelFrame(target int32) []byte { return frame(thrifttest.Cancel(target)) }
@@ -112,7 +102,7 @@
 }
 
 // readReply reads one reply. ok is false if the connection was closed instead.
-func (c *testClient) readReply() (reply thrifttest.Answer, ok bool) {
+func (c *testClient) readReply() (reply thrifttest.Reply, ok bool) {
 	c.t.Helper()
 	head := make([]byte, 4)
 	if _, err := io.ReadFull(c, head); err != nil {
@@ -126,22 +116,22 @@
 }
 
 // replyKind returns the kind of a reply.
-func replyKind(reply thrifttest.Answer) string {
+func replyKind(reply thrifttest.Reply) string {
 	switch {
 	case reply.Kind == 3:
 		return "fault"
-	case reply.Field == 0 && reply.Good:
+	case reply.Result == 0 && reply.Success:
 		return "returned"
-	case reply.Field == 1:
+	case reply.Result == 1:
 		return "shed"
-	case reply.Field == 2:
+	case reply.Result == 2:
 		return "failed"
 	}
 	return "not good"
 }
 
 // roundTrip sends one request on a connection of its own and returns the kind of reply and the reply.
-func (h *harness) roundTrip(group string, changes ...string) (string, thrifttest.Answer) {
+func (h *harness) roundTrip(group string, changes ...string) (string, thrifttest.Reply) {
 	h.t.Helper()
 	client := h.dial()
 	defer client.Close()
@@ -150,14 +140,14 @@
 	if !ok {
 		return "closed", reply
 	}
-	if reply.Seq != seq {
-		h.t.Errorf("reply to request %d, sent %d", reply.Seq, seq)
+	if reply.SeqID != seq {
+		h.t.Errorf("reply to request %d, sent %d", reply.SeqID, seq)
 	}
 	return replyKind(reply), reply
 }
 
 // expect sends one request and checks the kind of its reply.
-func (h *harness) expect(group, want string, changes ...string) thrifttest.Answer {
+func (h *harness) expect(group, want string, changes ...string) thrifttest.Reply {
 	h.t.Helper()
 	got, reply := h.roundTrip(group, changes...)
 	if got != want {
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -21,8 +21,8 @@
 	}
 	for range bodies {
 		reply, ok := client.readReply()
-		if want, known := bodies[reply.Seq]; !ok || !known || reply.Body != want || replyKind(reply) != "returned" {
-			t.Errorf("%d: %d bytes, %s", reply.Seq, len(reply.Body), replyKind(reply))
+		if want, known := bodies[reply.SeqID]; !ok || !known || reply.Body != want || replyKind(reply) != "returned" {
+			t.Errorf("%d: %d bytes, %s", reply.SeqID, len(reply.Body), replyKind(reply))
 		}
 	}
 	for _, message := range worker.messages("invoke") {
@@ -78,7 +78,7 @@
 	seen := map[string]bool{first.body: true}
 	for range maxRequestsPerConn - 1 {
 		reply, ok := client.readReply()
-		if !ok || replyKind(reply) != "returned" || reply.Body != fmt.Sprint(reply.Seq) || seen[reply.Body] {
+		if !ok || replyKind(reply) != "returned" || reply.Body != fmt.Sprint(reply.SeqID) || seen[reply.Body] {
 			t.Fatalf("%+v %v", reply, ok)
 		}
 		seen[reply.Body] = true
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	flood.Write(aliveFrame(6000))
-	if reply, ok := flood.readReply(); !ok || reply.Seq != 6000 {
+	if reply, ok := flood.readReply(); !ok || reply.SeqID != 6000 {
 		t.Errorf("%+v %v: a reply to a cancelled request", reply, ok)
 	}
 	h.waitIdle()
--- a/internal/platform/readiness_test.go
+++ b/internal/platform/readiness_test.go
@@ -22,7 +22,7 @@
 	isAlive := func() bool {
 		client.Write(alive)
 		reply, ok := client.readReply()
-		return ok && reply.Name == "alive" && reply.Good
+		return ok && reply.Name == "alive" && reply.Success
 	}
 	if isAlive() {
 		t.Error("alive without a worker")
@@ -60,7 +60,7 @@
 			h.start()
 			client := h.dial()
 			client.Write(aliveFrame(1))
-			if reply, ok := client.readReply(); !ok || !reply.Good {
+			if reply, ok := client.readReply(); !ok || !reply.Success {
 				t.Errorf("not alive at the first health check: %+v %v", reply, ok)
 			}
 			h.expect("once", "returned")
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -74,7 +74,7 @@
 	partial := h.dial()
 	for _, client := range []*testClient{open, partial} {
 		client.Write(aliveFrame(1))
-		if reply, ok := client.readReply(); !ok || !reply.Good {
+		if reply, ok := client.readReply(); !ok || !reply.Success {
 			t.Fatalf("%+v %v", reply, ok)
 		}
 		client.seq = 1
--- /dev/null
+++ b/internal/thrift/frame.go
@@ -0,0 +1,47 @@
+// Package thrift reads and writes the platform's client protocol on byte slices: Thrift's framed transport and strict binary
+// protocol, and the service that clients call. It does no I/O and has no clock. What it returns points into the slices that
+// it was given. Every length is checked against the bytes that are there before anything is read or skipped.
+package thrift
+
+import (
+	"encoding/binary"
+	"errors"
+)
+
+// The bounds of a request.
+const (
+	MaxBodyBytes  = 16 << 10              // bytes of its body
+	MaxFrameBytes = MaxBodyBytes + 48<<10 // bytes of its frame: there is space for its fields
+)
+
+const frameHeadBytes = 4
+
+// The errors of ReadFrame and ReadMessage, and the faults of messages. Clients get their texts.
+var (
+	errFrameLength    = errors.New("a frame's length is negative or too large")
+	errNotStrict      = errors.New("no message of the strict binary protocol")
+	errTruncated      = errors.New("a message is cut short")
+	errFieldType      = errors.New("a field has an unknown type, or another than the service's")
+	errNesting        = errors.New("a message is nested too deep")
+	errTrailingBytes  = errors.New("bytes are left over behind a message")
+	errDuplicateField = errors.New("a field is there twice")
+	errInvalidNumber  = errors.New("a figure is out of range or no number")
+	errInvalidField   = errors.New("a word is missing or malformed")
+)
+
+// ReadFrame returns the payload of the first frame of data and how many bytes the frame takes, 0 if it is not complete yet.
+// It returns an error as soon as data has the length of a frame beyond maxBytes; nothing after it can be read then.
+func ReadFrame(data []byte, maxBytes int) (payload []byte, n int, err error) {
+	if len(data) < frameHeadBytes {
+		return nil, 0, nil
+	}
+	size := int32(binary.BigEndian.Uint32(data))
+	if size < 0 || int(size) > maxBytes {
+		return nil, 0, errFrameLength
+	}
+	if len(data)-frameHeadBytes < int(size) {
+		return nil, 0, nil
+	}
+	n = frameHeadBytes + int(size)
+	return data[frameHeadBytes:n], n, nil
+}
--- a/internal/thrift/thrifttest/thrifttest.go
+++ b/internal/thrift/thrifttest/thrifttest.go
@@ -1,4 +1,4 @@
-// Package thrifttest is a client's half of the platform's protocol for tests, on the published Thrift library.
+// Package thrifttest is the client's half of the platform's protocol for tests, on the published Thrift library.
 package thrifttest
 
 import (
@@ -9,133 +9,177 @@
 	lib "github.com/apache/thrift/lib/go/thrift"
 )
 
-// Message writes a message by the library, without its frame.
-func Message(f func(p *lib.TBinaryProtocol)) []byte {
-	buf := lib.NewTMemoryBuffer()
-	p := lib.NewTBinaryProtocolConf(buf, &lib.TConfiguration{})
-	f(p)
-	p.Flush(context.Background())
-	return buf.Bytes()
+var background = context.Background()
+
+// Message returns the message that write writes by the library, without a frame.
+func Message(write func(protocol *lib.TBinaryProtocol)) []byte {
+	buffer := lib.NewTMemoryBuffer()
+	protocol := lib.NewTBinaryProtocolConf(buffer, &lib.TConfiguration{})
+	write(protocol)
+	protocol.Flush(background)
+	return buffer.Bytes()
 }
 
-var bg = context.Background()
-
-// Call writes a request as clients do, an unknown field of every type included where extra is set.
-func Call(seq int32, fields map[string]string, body []byte, extra bool) []byte {
-	return Message(func(p *lib.TBinaryProtocol) {
-		p.WriteMessageBegin(bg, "dispatch", lib.CALL, seq)
-		if extra {
-			p.WriteFieldBegin(bg, "", lib.STRUCT, 9)
-			p.WriteFieldBegin(bg, "", lib.LIST, 1)
-			p.WriteListBegin(bg, lib.I64, 2)
-			p.WriteI64(bg, 1)
-			p.WriteI64(bg, 2)
-			p.WriteFieldBegin(bg, "", lib.MAP, 2)
-			p.WriteMapBegin(bg, lib.I16, lib.DOUBLE, 1)
-			p.WriteI16(bg, 1)
-			p.WriteDouble(bg, 2)
-			p.WriteFieldBegin(bg, "", lib.BOOL, 3)
-			p.WriteBool(bg, true)
-			p.WriteFieldStop(bg)
+// Dispatch returns a request as clients send it. If withUnknown is set, it also has an unknown argument with fields of all
+// types.
+func Dispatch(seqID int32, fields map[string]string, body []byte, withUnknown bool) []byte {
+	return Message(func(protocol *lib.TBinaryProtocol) {
+		protocol.WriteMessageBegin(background, "dispatch", lib.CALL, seqID)
+		if withUnknown {
+			writeUnknownArgument(protocol)
 		}
-		p.WriteFieldBegin(bg, "fields", lib.MAP, 1)
-		p.WriteMapBegin(bg, lib.STRING, lib.STRING, len(fields))
-		for k, v := range fields {
-			p.WriteString(bg, k)
-			p.WriteString(bg, v)
+		protocol.WriteFieldBegin(background, "fields", lib.MAP, 1)
+		protocol.WriteMapBegin(background, lib.STRING, lib.STRING, len(fields))
+		for name, value := range fields {
+			protocol.WriteString(background, name)
+			protocol.WriteString(background, value)
 		}
-		p.WriteFieldBegin(bg, "body", lib.STRING, 2)
-		p.WriteBinary(bg, body)
-		p.WriteFieldStop(bg)
+		protocol.WriteFieldBegin(background, "body", lib.STRING, 2)
+		protocol.WriteBinary(background, body)
+		protocol.WriteFieldStop(background)
+	})
+}
+
+// writeUnknownArgument writes a struct under an id that the service does not define.
+func writeUnknownArgument(protocol *lib.TBinaryProtocol) {
+	protocol.WriteFieldBegin(background, "", lib.STRUCT, 9)
+	protocol.WriteFieldBegin(background, "", lib.LIST, 1)
+	protocol.WriteListBegin(background, lib.I64, 2)
+	protocol.WriteI64(background, 1)
+	protocol.WriteI64(background, 2)
+	protocol.WriteFieldBegin(background, "", lib.MAP, 2)
+	protocol.WriteMapBegin(background, lib.I16, lib.DOUBLE, 1)
+	protocol.WriteI16(background, 1)
+	protocol.WriteDouble(background, 2)
+	protocol.WriteFieldBegin(background, "", lib.BOOL, 3)
+	protocol.WriteBool(background, true)
+	protocol.WriteFieldStop(background)
+}
+
+// Cancel returns the cancellation of the request with a sequence id.
+func Cancel(seqID int32) []byte {
+	return Message(func(protocol *lib.TBinaryProtocol) {
+		protocol.WriteMessageBegin(background, "cancelRequest", lib.ONEWAY, seqID)
+		protocol.WriteFieldBegin(background, "", lib.I32, 1)
+		protocol.WriteI32(background, seqID)
+		protocol.WriteFieldStop(background)
 	})
 }
 
-// Cancel writes the client's word that it takes a request back.
-func Cancel(seq int32) []byte {
-	return Message(func(p *lib.TBinaryProtocol) {
-		p.WriteMessageBegin(bg, "cancelRequest", lib.ONEWAY, seq)
-		p.WriteFieldBegin(bg, "", lib.I32, 1)
-		p.WriteI32(bg, seq)
-		p.WriteFieldStop(bg)
+// Alive returns a health check.
+func Alive(seqID int32) []byte {
+	return Message(func(protocol *lib.TBinaryProtocol) {
+		protocol.WriteMessageBegin(background, "alive", lib.CALL, seqID)
+		protocol.WriteFieldBegin(background, "", lib.BOOL, 1)
+		protocol.WriteBool(background, true)
+		protocol.WriteFieldStop(background)
 	})
 }
 
-// Good are the fields of a request as clients send them.
-func Good() map[string]string {
-	return map[string]string{"route": "call", "trace": "9b1f03aa5c7e2d41", "patience": "1500", "nonce": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
-		"entity": "7f3a9c21e0b4d655", "weight": "8.2", "extras": "memory_mb:512;lanes:2;load_ms:640"}
+// ValidFields returns the fields of a valid request.
+func ValidFields() map[string]string {
+	return map[string]string{
+		"route":    "call",
+		"trace":    "9b1f03aa5c7e2d41",
+		"patience": "1500",
+		"nonce":    "5c0f6e1a2b3d4c59a8b7c6d5e4f30211",
+		"entity":   "7f3a9c21e0b4d655",
+		"weight":   "8.2",
+		"extras":   "memory_mb:512;lanes:2;load_ms:640",
+	}
 }
 
-// Answer is what a client's library reads from a reply.
-type Answer struct {
-	Name   string
-	Kind   lib.TMessageType
-	Seq    int32
-	Field  int16 // of the result: 0 an answer, 1 shed, 2 failed
-	Body   string
-	Fields map[string]string
-	Good   bool
-	Code   int32
+// Reply is a reply as a client's library reads it.
+type Reply struct {
+	Name    string
+	Kind    lib.TMessageType
+	SeqID   int32
+	Result  int16 // the field of the result: 0 a response, 1 shed, 2 failed
+	Body    string
+	Fields  map[string]string
+	Success bool
+	Code    int32 // of an application exception
 }
 
-// Decode reads a whole frame.
-func Decode(t testing.TB, b []byte) (a Answer) {
+// Decode reads a reply from a whole frame. It fails the test if the frame has anything else.
+func Decode(t testing.TB, frame []byte) Reply {
 	t.Helper()
-	if len(b) < 4 || int(binary.BigEndian.Uint32(b)) != len(b)-4 {
-		t.Fatalf("%d bytes are no frame", len(b))
+	if len(frame) < 4 || int(binary.BigEndian.Uint32(frame)) != len(frame)-4 {
+		t.Fatalf("%d bytes are no frame", len(frame))
 	}
-	buf := lib.NewTMemoryBuffer()
-	buf.Write(b[4:])
-	p := lib.NewTBinaryProtocolConf(buf, &lib.TConfiguration{TBinaryStrictRead: lib.BoolPtr(true)})
-	must := func(err error) {
-		t.Helper()
-		if err != nil {
-			t.Fatal(err)
-		}
+	buffer := lib.NewTMemoryBuffer()
+	buffer.Write(frame[4:])
+	d := decoder{protocol: lib.NewTBinaryProtocolConf(buffer, &lib.TConfiguration{TBinaryStrictRead: lib.BoolPtr(true)})}
+	d.readMessage(t)
+	if d.err != nil {
+		t.Fatal(d.err)
+	}
+	if buffer.Len() > 0 {
+		t.Fatalf("%d bytes left over", buffer.Len())
 	}
-	var err error
-	a.Name, a.Kind, a.Seq, err = p.ReadMessageBegin(bg)
-	must(err)
-	var read func(top bool)
-	read = func(top bool) {
-		for {
-			_, kind, id, err := p.ReadFieldBegin(bg)
-			must(err)
-			if kind == lib.STOP {
-				return
-			}
-			switch kind {
-			case lib.STRUCT:
-				a.Field = id
-				read(false)
-			case lib.STRING:
-				v, err := p.ReadBinary(bg)
-				must(err)
-				a.Body = string(v)
-			case lib.MAP:
-				_, _, n, err := p.ReadMapBegin(bg)
-				must(err)
-				a.Fields = map[string]string{}
-				for range n {
-					k, _ := p.ReadString(bg)
-					v, err := p.ReadString(bg)
-					must(err)
-					a.Fields[k] = v
-				}
-			case lib.BOOL:
-				a.Good, err = p.ReadBool(bg)
-				must(err)
-			case lib.I32:
-				a.Code, err = p.ReadI32(bg)
-				must(err)
-			default:
-				t.Fatalf("field of type %v", kind)
-			}
+	return d.reply
+}
+
+// decoder reads a reply. The first error ends it.
+type decoder struct {
+	protocol *lib.TBinaryProtocol
+	reply    Reply
+	err      error
+}
+
+func (d *decoder) readMessage(t testing.TB) {
+	d.reply.Name, d.reply.Kind, d.reply.SeqID, d.err = d.protocol.ReadMessageBegin(background)
+	d.readStruct(t)
+}
+
+// readStruct reads fields up to the end of a struct.
+func (d *decoder) readStruct(t testing.TB) {
+	for d.err == nil {
+		var fieldType lib.TType
+		var id int16
+		_, fieldType, id, d.err = d.protocol.ReadFieldBegin(background)
+		if d.err != nil || fieldType == lib.STOP {
+			return
 		}
+		d.readField(t, fieldType, id)
+	}
+}
+
+func (d *decoder) readField(t testing.TB, fieldType lib.TType, id int16) {
+	switch fieldType {
+	case lib.STRUCT:
+		d.reply.Result = id
+		d.readStruct(t)
+	case lib.STRING:
+		var body []byte
+		body, d.err = d.protocol.ReadBinary(background)
+		d.reply.Body = string(body)
+	case lib.MAP:
+		d.readMap()
+	case lib.BOOL:
+		d.reply.Success, d.err = d.protocol.ReadBool(background)
+	case lib.I32:
+		d.reply.Code, d.err = d.protocol.ReadI32(background)
+	default:
+		t.Fatalf("field of type %v", fieldType)
 	}
-	read(true)
-	if buf.Len() > 0 {
-		t.Fatalf("%d bytes left over", buf.Len())
+}
+
+func (d *decoder) readMap() {
+	var length int
+	_, _, length, d.err = d.protocol.ReadMapBegin(background)
+	d.reply.Fields = map[string]string{}
+	for range length {
+		var name, value string
+		if d.err == nil {
+			name, d.err = d.protocol.ReadString(background)
+		}
+		if d.err == nil {
+			value, d.err = d.protocol.ReadString(background)
+		}
+		if d.err != nil {
+			return
+		}
+		d.reply.Fields[name] = value
 	}
-	return a
 }
--- /dev/null
+++ b/internal/workerproto/response.go
@@ -0,0 +1,198 @@
+// Package workerproto reads and writes the platform's worker protocol on byte slices. A message is a line of words that ends
+// in CR LF. If the last word is a length, a body of that many bytes and another CR LF follow. The package does no I/O and
+// has no clock. What it returns points into the slices that it was given.
+package workerproto
+
+import (
+	"errors"
+
+	"mastchute/control"
+)
+
+// The bounds of a response.
+const (
+	MaxLineBytes = 1 << 10   // bytes of its line, without the line feed
+	MaxBodyBytes = 256 << 10 // bytes of its body
+)
+
+const maxDecimalDigits = 9 // so that a length fits in 32 bits
+
+// The errors of ReadResponse.
+var (
+	errMalformedLine = errors.New("response line is too long or malformed")
+	errInvalidLength = errors.New("response length is malformed or too large")
+	errMissingEnd    = errors.New("response does not end where its length says")
+)
+
+// Response is a worker's response to one call.
+type Response struct {
+	ID         []byte // the tag of the call
+	Result     control.Result
+	ModelState control.ModelState
+	Replicas   int
+	LoadReport []byte // for ReadLoadReport; empty if there is none
+	Body       []byte
+}
+
+// ReadResponse reads the first response of data and returns how many bytes it takes, 0 if it is not complete yet. It returns
+// an error as soon as data shows that the response is malformed or exceeds a bound; nothing after it can be read then.
+func ReadResponse(data []byte) (response Response, n int, err error) {
+	line, lineLen, err := readLine(data)
+	if err != nil || lineLen == 0 {
+		return Response{}, 0, err
+	}
+	response, bodyLen, err := parseLine(line)
+	if err != nil {
+		return Response{}, 0, err
+	}
+	rest := data[lineLen:]
+	complete, err := checkBodyEnd(rest, bodyLen)
+	if err != nil || !complete {
+		return Response{}, 0, err
+	}
+	response.Body = rest[:bodyLen:bodyLen]
+	return response, lineLen + bodyLen + len("\r\n"), nil
+}
+
+// readLine returns the first line of data without its end, and how many bytes it takes with it, 0 if it is not complete.
+func readLine(data []byte) (line []byte, n int, err error) {
+	end := -1
+	for i := 0; i < len(data) && i <= MaxLineBytes; i++ {
+		char := data[i]
+		if char == '\n' {
+			end = i
+			break
+		}
+		if char < ' ' && char != '\r' || char > '~' {
+			return nil, 0, errMalformedLine
+		}
+	}
+	switch {
+	case end < 0 && len(data) <= MaxLineBytes:
+		return nil, 0, nil
+	case end <= 0 || data[end-1] != '\r':
+		return nil, 0, errMalformedLine
+	}
+	return data[:end-1], end + 1, nil
+}
+
+// parseLine parses a response's line: tag, result, fields and the length of the body.
+func parseLine(line []byte) (response Response, bodyLen int, err error) {
+	id, rest, idOK := cutWord(line)
+	resultWord, rest, resultOK := cutWord(rest)
+	fields, length, fieldsOK := cutWord(rest)
+	if !idOK || !resultOK || !fieldsOK {
+		return Response{}, 0, errMalformedLine
+	}
+	response.ID = id
+	result, known := parseResult(resultWord)
+	if !known || !response.parseFields(fields) {
+		return Response{}, 0, errMalformedLine
+	}
+	response.Result = result
+	bodyLen, ok := parseDecimal(length)
+	if !ok || bodyLen > MaxBodyBytes {
+		return Response{}, 0, errInvalidLength
+	}
+	return response, bodyLen, nil
+}
+
+// checkBodyEnd reports whether a body is complete, that is, followed by CR LF in data.
+func checkBodyEnd(data []byte, bodyLen int) (complete bool, err error) {
+	switch {
+	case len(data) > bodyLen && data[bodyLen] != '\r':
+		return false, errMissingEnd
+	case len(data) < bodyLen+len("\r\n"):
+		return false, nil
+	case data[bodyLen+1] != '\n':
+		return false, errMissingEnd
+	}
+	return true, nil
+}
+
+// cutWord cuts the first word off a line. ok is false if it is empty or no single space follows it.
+func cutWord(line []byte) (word, rest []byte, ok bool) {
+	for i, char := range line {
+		if char == ' ' {
+			return line[:i], line[i+1:], i > 0
+		}
+		if char == '\r' {
+			return nil, nil, false
+		}
+	}
+	return nil, nil, false
+}
+
+// parseDecimal parses one to nine digits.
+func parseDecimal(text []byte) (value int, ok bool) {
+	if len(text) == 0 || len(text) > maxDecimalDigits {
+		return 0, false
+	}
+	for _, char := range text {
+		if char < '0' || char > '9' {
+			return 0, false
+		}
+		value = value*10 + int(char-'0')
+	}
+	return value, true
+}
+
+// parseResult maps the result of a response. Those of a health check map to success and to an error.
+func parseResult(word []byte) (result control.Result, ok bool) {
+	switch string(word) {
+	case "served", "green":
+		return control.Succeeded, true
+	case "not_here":
+		return control.ModelNotLoaded, true
+	case "overload":
+		return control.AtCapacity, true
+	case "crashed", "red":
+		return control.WorkerError, true
+	case "nobody": // the worker had no time left for the call and did not run it
+		return control.NotSent, true
+	}
+	return 0, false
+}
+
+// parseFields parses name=value,name=value or a dash, and ignores unknown names. It reports whether the fields are well
+// formed.
+func (r *Response) parseFields(fields []byte) bool {
+	if string(fields) == "-" {
+		return true
+	}
+	for len(fields) > 0 {
+		var field []byte
+		field, fields = cutEntry(fields, ',')
+		name, value, ok := cutPair(field, '=')
+		if !ok {
+			return false
+		}
+		switch string(name) {
+		case "detail":
+			r.ModelState = parseModelState(value, r.ModelState)
+		case "replicas":
+			r.Replicas, ok = parseDecimal(value)
+			if !ok {
+				return false
+			}
+		case "use":
+			r.LoadReport = value
+		}
+	}
+	return true
+}
+
+// parseModelState maps the state of the call's model. An unknown one leaves the state as it was.
+func parseModelState(detail []byte, previous control.ModelState) control.ModelState {
+	switch string(detail) {
+	case "resident":
+		return control.ModelWarm
+	case "booted":
+		return control.LoadStarted
+	case "rode":
+		return control.LoadAwaited
+	case "boot_error":
+		return control.LoadFailed
+	}
+	return previous
+}
