--- a/internal/platform/race_on_test.go
+++ b/internal/platform/race_on_test.go
@@ -2,4 +2,4 @@
 
 package platform
 
-const raceOn = true
+const raceEnabled = true
