--- /dev/null
+++ b/internal/gateway/http_workers.go
@@ -0,0 +1,308 @@
+package gateway
+
+import (
+	"cmp"
+	"strconv"
+
+	"mastchute/control"
+	"mastchute/internal/httpcodec"
+	"mastchute/internal/httpconn"
+	"mastchute/internal/rules"
+)
+
+// Workers over HTTP/1.1: WorkerTransport on a pool of connections.
+
+// httpWorkerTransport implements WorkerTransport. The pool provides the methods that concern connections.
+type httpWorkerTransport struct {
+	gateway *Gateway
+	*httpconn.Pool
+}
+
+func newHTTPWorkerTransport(g *Gateway, w *Worker) *httpWorkerTransport {
+	limits := g.cfg.Limits
+	pool := httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{
+		MaxConnections: limits.WorkerConnections,
+		MaxIdle:        limits.WorkerIdle,
+		IdleTimeout:    limits.WorkerIdleTimeout.Seconds,
+		ConnectTimeout: limits.ConnectTimeout.Seconds,
+		OnConnectionLost: func() {
+			if w.ConnectionLost() {
+				g.sendStartupProbe(w)
+			}
+		},
+	})
+	return &httpWorkerTransport{gateway: g, Pool: pool}
+}
+
+// httpAttempt is the transport state of an attempt. It implements httpconn.ResponseHandler and httpconn.HeadRewriter.
+type httpAttempt struct {
+	attempt       *Attempt
+	call          httpconn.Call
+	head          []byte // of the request
+	status        int
+	headers       []byte // of the response, as the client gets them
+	contentLength int64  // of the response, -1 if not known
+	metadata      responseMetadata
+}
+
+// SendAttempt implements WorkerTransport.
+func (t *httpWorkerTransport) SendAttempt(a *Attempt) {
+	state, _ := a.TransportState.(*httpAttempt)
+	if state == nil {
+		state = &httpAttempt{attempt: a}
+		state.call.Handler = state
+		a.TransportState = state
+	}
+	x := exchangeOf(a)
+	state.status = 0
+	state.headers = state.headers[:0]
+	state.contentLength = -1
+	state.metadata = responseMetadata{}
+	state.head = t.gateway.appendAttemptHead(state.head[:0], a, x)
+	state.call.SendDeadline = a.SendDeadline
+	t.Do(&state.call, state.head, x.Body)
+}
+
+// exchangeOf returns the client's exchange of an attempt whose request has no final response yet.
+func exchangeOf(a *Attempt) *httpconn.Exchange {
+	return a.Request.Responder.(*httpResponseWriter).exchange
+}
+
+// CancelAttempt implements WorkerTransport.
+func (t *httpWorkerTransport) CancelAttempt(a *Attempt) {
+	state, _ := a.TransportState.(*httpAttempt)
+	if state != nil {
+		state.call.Cancel()
+	}
+}
+
+// SentAt implements WorkerTransport.
+func (t *httpWorkerTransport) SentAt(a *Attempt) float64 {
+	state, _ := a.TransportState.(*httpAttempt)
+	if state == nil {
+		return 0
+	}
+	return state.call.SentAt
+}
+
+// FullySent implements WorkerTransport.
+func (t *httpWorkerTransport) FullySent(a *Attempt) bool {
+	state, _ := a.TransportState.(*httpAttempt)
+	return state != nil && state.call.FullySent()
+}
+
+// RewriteHead implements httpconn.HeadRewriter: an attempt that waited for a connection is sent with the time left then.
+func (h *httpAttempt) RewriteHead() ([]byte, bool) {
+	a := h.attempt
+	now := a.gateway.Loop.Clock()
+	if a.CheckFirstByte(now, now, 0) != rules.Allowed {
+		return nil, false
+	}
+	h.head = a.gateway.appendAttemptHead(h.head[:0], a, exchangeOf(a))
+	return h.head, true
+}
+
+// appendAttemptHead appends the request head of an attempt: the client's headers, then the gateway's.
+func (g *Gateway) appendAttemptHead(b []byte, a *Attempt, x *httpconn.Exchange) []byte {
+	r := a.Request
+	b = append(b, "POST /v2/models/"...)
+	b = append(b, r.model.Name...)
+	b = append(b, "/infer HTTP/1.1\r\nHost: "...)
+	b = a.Worker.Addr.AppendTo(b)
+	b = append(b, "\r\n"...)
+	b, hasKey := appendForwardedHeaders(b, &x.Head)
+	if !hasKey && r.group.effect != control.Retriable { // workers drop the gateway's own repeats by it
+		b = append(b, "Idempotency-Key: "...)
+		b = g.appendRequestID(b, r)
+		b = append(b, "\r\n"...)
+	}
+	b = append(b, "Mastchute-Inference: "...)
+	b = g.appendRequestID(b, r)
+	b = append(b, "\r\nMastchute-Forward: "...)
+	b = strconv.AppendInt(b, int64(a.Index), 10)
+	b = append(b, "\r\nMastchute-Dispatcher: "...)
+	b = append(b, g.cfg.Name...)
+	b = append(b, "\r\nMastchute-Group: "...)
+	b = append(b, r.group.Name...)
+	b = append(b, "\r\nMastchute-Timeout: "...)
+	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), r.deadline))/1e3)
+	b = append(b, "\r\n"...)
+	b = httpcodec.AppendLength(b, int64(len(x.Body)))
+	return append(b, "\r\n"...)
+}
+
+// appendForwardedHeaders appends the client's headers but those of its connection and those that the gateway sets. It
+// reports whether an idempotency key was among them.
+func appendForwardedHeaders(b []byte, head *httpcodec.Head) (appended []byte, hasKey bool) {
+	connection := head.Get("connection")
+	for i := range head.Headers {
+		name, value := head.Headers[i].Name, head.Headers[i].Value
+		if httpcodec.IsHopByHop(name) || len(connection) > 0 && httpcodec.ListContains(connection, name) {
+			continue
+		}
+		if hasMarkPrefix(name) && !httpcodec.EqualsLower(name, "mastchute-tenant") && !httpcodec.EqualsLower(name, "mastchute-work") {
+			continue
+		}
+		hasKey = hasKey || httpcodec.EqualsLower(name, "idempotency-key")
+		b = appendHeaderBytes(b, name, value)
+	}
+	return b, hasKey
+}
+
+func appendHeaderBytes(b, name, value []byte) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = append(b, value...)
+	return append(b, "\r\n"...)
+}
+
+// ResponseHead implements httpconn.ResponseHandler.
+func (h *httpAttempt) ResponseHead(head *httpcodec.Head) {
+	a, g := h.attempt, h.attempt.gateway
+	h.metadata = classifyResponse(head, g.cfg.Report)
+	h.status = head.Status
+	h.contentLength = head.Length
+	a.Response = h.metadata.WorkerResponse
+	g.observeStart(a.Worker, h.metadata.startEpoch)
+	if h.metadata.Result != control.Succeeded {
+		return
+	}
+	// Workers may report what the catalogue does not say.
+	model := a.Request.model
+	model.MemoryMB = cmp.Or(model.MemoryMB, h.metadata.memoryMB)
+	model.Concurrency = cmp.Or(model.Concurrency, h.metadata.concurrency)
+	model.LoadSeconds = cmp.Or(model.LoadSeconds, h.metadata.loadSeconds)
+	if a.Request.finished {
+		return
+	}
+	h.headers = appendReturnedHeaders(h.headers, head)
+	if head.Length > g.cfg.Limits.Answer.Bytes {
+		h.startStreaming()
+	}
+}
+
+// appendReturnedHeaders appends a worker's headers but those of its connection and those for the gateway.
+func appendReturnedHeaders(b []byte, head *httpcodec.Head) []byte {
+	for i := range head.Headers {
+		name := head.Headers[i].Name
+		if httpcodec.IsHopByHop(name) || httpcodec.EqualsLower(name, "endpoint-load-metrics") || hasMarkPrefix(name) {
+			continue
+		}
+		b = appendHeaderBytes(b, name, head.Headers[i].Value)
+	}
+	return b
+}
+
+// ResponseBody implements httpconn.ResponseHandler. A response is buffered up to a limit, so that a retry can replace one
+// that is cut short, and streamed beyond it.
+func (h *httpAttempt) ResponseBody(data []byte) {
+	a := h.attempt
+	r := a.Request
+	switch {
+	case h.metadata.Result != control.Succeeded || r.finished && r.streamingAttempt != a:
+		return
+	case r.streamingAttempt == a:
+		if !exchangeOf(a).WriteStream(data) {
+			h.call.Pause()
+		}
+	default:
+		a.ResponseBody = append(a.ResponseBody, data...)
+		if int64(len(a.ResponseBody)) > a.gateway.cfg.Limits.Answer.Bytes {
+			h.startStreaming()
+		}
+	}
+}
+
+// startStreaming begins the client's response with what has been received so far.
+func (h *httpAttempt) startStreaming() {
+	a := h.attempt
+	w := a.Request.Responder.(*httpResponseWriter)
+	x := w.exchange
+	b := w.transport.appendMarkHeaders(x.StartResponse(h.status), a.Request, outcomeReturned)
+	b = append(b, h.headers...)
+	x.StartStream(b, h.contentLength)
+	if len(a.ResponseBody) > 0 && !x.WriteStream(a.ResponseBody) {
+		h.call.Pause()
+	}
+	a.ResponseBody = a.ResponseBody[:0]
+	a.gateway.startStreaming(a)
+}
+
+// ResponseDone implements httpconn.ResponseHandler.
+func (h *httpAttempt) ResponseDone(err error) {
+	h.attempt.Finish(finalResult(&h.call, h.metadata.Result, err))
+}
+
+// finalResult returns the result of a call that has ended: the response's unless there was an error.
+func finalResult(call *httpconn.Call, result control.Result, err error) control.Result {
+	if err != nil {
+		return resultOfError(err, call.AnyByteSent())
+	}
+	return result
+}
+
+// httpControlCall is the transport state of a control call. It implements httpconn.ResponseHandler.
+type httpControlCall struct {
+	controlCall *ControlCall
+	call        httpconn.Call
+	head        []byte
+	body        []byte
+	metadata    responseMetadata
+}
+
+// SendControlCall implements WorkerTransport.
+func (t *httpWorkerTransport) SendControlCall(c *ControlCall) {
+	state, _ := c.TransportState.(*httpControlCall)
+	if state == nil {
+		state = &httpControlCall{controlCall: c}
+		state.call.Handler = state
+		c.TransportState = state
+	}
+	state.metadata = responseMetadata{}
+	method, target, body := "GET", "/v2/load", ""
+	switch c.Kind {
+	case CallLoadModel:
+		method, target = "POST", "/v2/repository/models/"+c.Model.Name+"/load"
+		body = `{"parameters":{"copies":` + strconv.Itoa(c.Replicas) + `}}`
+	case CallUnloadModel:
+		method, target = "POST", "/v2/repository/models/"+c.Model.Name+"/unload"
+		body = "{}"
+	}
+	b := httpcodec.AppendRequest(state.head[:0], method, target)
+	b = append(b, "Host: "...)
+	b = c.Worker.Addr.AppendTo(b)
+	b = append(b, "\r\nMastchute-Dispatcher: "...)
+	b = append(b, t.gateway.cfg.Name...)
+	b = append(b, "\r\n"...)
+	if method == "POST" {
+		b = append(b, "Content-Type: application/json\r\n"...)
+		b = httpcodec.AppendLength(b, int64(len(body)))
+	}
+	state.head = append(b, "\r\n"...)
+	state.body = append(state.body[:0], body...)
+	t.Do(&state.call, state.head, state.body)
+}
+
+// CancelControlCall implements WorkerTransport.
+func (t *httpWorkerTransport) CancelControlCall(c *ControlCall) {
+	state, _ := c.TransportState.(*httpControlCall)
+	if state != nil {
+		state.call.Cancel()
+	}
+}
+
+// ResponseHead implements httpconn.ResponseHandler.
+func (h *httpControlCall) ResponseHead(head *httpcodec.Head) {
+	c := h.controlCall
+	h.metadata = classifyResponse(head, c.gateway.cfg.Report)
+	c.Response = h.metadata.WorkerResponse
+	c.gateway.observeStart(c.Worker, h.metadata.startEpoch)
+}
+
+// ResponseBody implements httpconn.ResponseHandler. The body of a control call's response says nothing more.
+func (h *httpControlCall) ResponseBody([]byte) {}
+
+// ResponseDone implements httpconn.ResponseHandler.
+func (h *httpControlCall) ResponseDone(err error) {
+	h.controlCall.Finish(finalResult(&h.call, h.metadata.Result, err))
+}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -6,225 +6,156 @@
 
 	"mastchute/control"
 	"mastchute/internal/eventloop"
-	"mastchute/internal/rules"
 )
 
-// answer is how a request ended for its client.
-type answer uint8
-
-const (
-	answerReturned answer = iota
-	answerShed
-	answerFailed
-	answerLeft // the client went first: nobody to answer
-	answers
-)
-
-func (a answer) String() string { return [...]string{"returned", "shed", "failed", "left"}[a] }
-
-// Request is one in flight: it lives until its final answer is given and no attempt is out.
+// Request is a client's request in flight: from its acceptance until its final response is given and the control module
+// has been notified of the end of every attempt. Its record is a slot of the request table and is used again.
 type Request struct {
-	Responder ResponseWriter // nil once answered, or when the client has left
+	Responder ResponseWriter // nil once the final response is given or the client has disconnected
 
 	id                 control.RequestID
-	seq                uint64
+	seq                uint64 // counts the requests of this process, from 1
 	model              *Model
 	group              *group
-	tenant             int
+	tenant             int // index in the settings, -1 for none
 	arrivedAt          float64
-	notAfter           float64
-	attempted, pending int
+	deadline           float64
+	deadlineTimer      eventloop.Timer
+	attemptCount       int
 	attempts           [maxAttempts]*Attempt
-	streaming          *Attempt // the one whose answer goes to the client as it comes
-	answered           bool
-	live               bool
-	gen                uint32
-	timer              eventloop.Timer // the client's time
-	trace              [16]byte        // its client's name for it, where it has one
+	unreportedAttempts int      // attempts of whose end the control module has not been notified
+	streamingAttempt   *Attempt // the attempt whose response is passed on as it arrives
+	finished           bool     // the final response is given, or the client has disconnected
+	inUse              bool     // the slot holds a request
+	generation         uint32   // uses of the slot
+	traceID            [16]byte // the client's own name of the request, if it has one
 }
 
-// Model is the model it asks for, NotAfter the end of the client's time on the loop's clock, Final whether its final
-// answer is given.
-func (q *Request) Model() *Model     { return q.model }
-func (q *Request) Deadline() float64 { return q.notAfter }
-func (q *Request) Finished() bool    { return q.answered }
+// Model returns the requested model.
+func (r *Request) Model() *Model { return r.model }
+
+// Deadline returns the client's deadline in seconds of the loop's clock.
+func (r *Request) Deadline() float64 { return r.deadline }
 
-// ID names it towards the decisions.
-func (q *Request) ID() control.RequestID { return q.id }
+// Finished reports whether the final response is given or the client has disconnected.
+func (r *Request) Finished() bool { return r.finished }
 
-// Tenant is the number of its tenant in the settings, -1 where none is told.
-func (q *Request) Tenant() int { return q.tenant }
+// ID returns the id that the control module knows the request by.
+func (r *Request) ID() control.RequestID { return r.id }
 
-// InFlight is how many requests are in flight.
+// Tenant returns the index of the request's tenant in the settings, -1 if it has none.
+func (r *Request) Tenant() int { return r.tenant }
+
+// SetTrace sets the client's own name of the request, which logs and dumps show.
+func (r *Request) SetTrace(id [16]byte) { r.traceID = id }
+
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int { return g.inFlight }
 
-// Serving tells whether requests are taken: not while stopping, nor after the decisions failed.
+// Serving reports whether requests are accepted: not during a shutdown, nor after the control module panicked.
 func (g *Gateway) Serving() bool { return !g.stopping && g.module != nil }
 
-// AcceptRequest takes a request: from here on its client is owed one final answer. in says what the client told and the model's
-// group; tenant is -1 where none is told. cameIn is when it came in: its time counts from then.
-func (g *Gateway) AcceptRequest(c ResponseWriter, m *Model, tenant int, cameIn float64, in control.Request) *Request {
-	q := g.acquire()
-	q.Responder, q.model, q.group, q.arrivedAt, q.tenant = c, m, g.groups[in.Group], cameIn, tenant
-	m.refs++
-	q.notAfter = math.Min(cameIn+q.group.Timeout.Seconds, in.Deadline)
-	in.Deadline = q.notAfter
-	span := q.notAfter - g.Loop.Now()
-	in.ID, in.Model, in.Tenant = q.id, m.ID, math.MaxUint16
+// AcceptRequest accepts a request: from here on its client is owed one final response by responder. tenant is an index in
+// the settings, -1 for none. The group's timeout counts from arrivedAt, when the request arrived on the loop's clock.
+// details holds what the client asked for and the model's group; AcceptRequest fills in the rest.
+func (g *Gateway) AcceptRequest(responder ResponseWriter, model *Model, tenant int, arrivedAt float64, details control.Request) *Request {
+	r := g.allocateRequest()
+	r.Responder = responder
+	r.model = model
+	r.group = g.groups[details.Group]
+	r.arrivedAt = arrivedAt
+	r.tenant = tenant
+	r.deadline = math.Min(arrivedAt+r.group.Timeout.Seconds, details.Deadline)
+	model.inFlight++
+
+	details.ID = r.id
+	details.Model = model.ID
+	details.Deadline = r.deadline
+	details.Tenant = math.MaxUint16
 	if tenant >= 0 {
-		in.Tenant = control.TenantID(tenant)
+		details.Tenant = control.TenantID(tenant)
 	}
-	q.group.meter.taken.Inc()
-	g.Loop.Start(&q.timer, span)
-	g.RecordEvent("taken", q.group.Name, q, nil, span)
-	g.begin()
-	g.request(&in)
-	return q
+
+	timeLeft := r.deadline - g.Loop.Now()
+	r.group.metrics.accepted.Inc()
+	g.Loop.Start(&r.deadlineTimer, timeLeft)
+	g.RecordEvent("request_accepted", r.group.Name, r, nil, timeLeft)
+	g.deliverRequest(&details)
+	return r
 }
 
-// ClientGone tells that the client has gone, or has taken the request back: nobody is to be answered.
-func (g *Gateway) ClientGone(q *Request) {
-	if q == nil || !q.live || q.answered {
+// ClientGone ends a request whose client has disconnected or cancelled it: there is nobody to respond to.
+func (g *Gateway) ClientGone(r *Request) {
+	if r == nil || !r.inUse || r.finished {
 		return
 	}
-	q.Responder = nil
-	g.close(q, answerLeft)
-	if s := q.streaming; s != nil {
-		g.end(s, control.Cancelled)
-	}
-	g.begin()
-	if g.module != nil {
-		g.guard(func() { g.module.RequestCancelled(q.id) })
+	r.Responder = nil
+	g.finishRequest(r, outcomeClientGone)
+	if r.streamingAttempt != nil {
+		g.finishAttempt(r.streamingAttempt, control.Cancelled)
 	}
+	g.deliverCancellation(r)
 }
 
-// acquire takes a slot of the request table.
-func (g *Gateway) acquire() *Request {
-	if len(g.free) == 0 {
-		q := &Request{}
-		q.timer.Fire = func() { g.timeUp(q) }
-		g.requests = append(g.requests, q)
-		g.free = append(g.free, int32(len(g.requests)-1))
+// allocateRequest returns a free slot of the request table under a new id.
+func (g *Gateway) allocateRequest() *Request {
+	if len(g.freeSlots) == 0 {
+		r := &Request{}
+		r.deadlineTimer.Fire = func() { g.deadlineExceeded(r) }
+		g.requests = append(g.requests, r)
+		g.freeSlots = append(g.freeSlots, int32(len(g.requests)-1))
+	}
+	slot := g.freeSlots[len(g.freeSlots)-1]
+	g.freeSlots = g.freeSlots[:len(g.freeSlots)-1]
+	r := g.requests[slot]
+	g.lastSeq++
+	generation := r.generation + 1
+	*r = Request{
+		id:            control.RequestID(uint32(slot) | generation<<requestSlotBits),
+		seq:           g.lastSeq,
+		deadlineTimer: r.deadlineTimer,
+		inUse:         true,
+		generation:    generation,
 	}
-	i := g.free[len(g.free)-1]
-	g.free = g.free[:len(g.free)-1]
-	q := g.requests[i]
-	g.seq++
-	timer, gen := q.timer, q.gen+1
-	*q = Request{timer: timer, gen: gen, live: true, seq: g.seq}
-	q.id = control.RequestID(uint32(i) | gen<<slotBits)
 	g.inFlight++
-	return q
+	return r
 }
 
-// lookupRequest returns a request in flight, nil when it has ended.
-func (g *Gateway) lookupRequest(id control.RequestID) *Request {
-	if i := int(id & (1<<slotBits - 1)); i < len(g.requests) {
-		if q := g.requests[i]; q.live && q.id == id {
-			return q
-		}
-	}
-	return nil
-}
+func slotOf(id control.RequestID) int { return int(id & (1<<requestSlotBits - 1)) }
 
-// release frees the slot once the final answer is given and no attempt is out.
-func (g *Gateway) release(q *Request) {
-	if !q.live || !q.answered || q.pending > 0 {
-		return
+// findRequest returns a request in flight, nil if it has been released. The generation in the id tells a late event of an
+// earlier use of the slot apart.
+func (g *Gateway) findRequest(id control.RequestID) *Request {
+	slot := slotOf(id)
+	if slot >= len(g.requests) {
+		return nil
 	}
-	for i := range q.attempts[:q.attempted] {
-		f := q.attempts[i]
-		q.attempts[i] = nil
-		g.putAttempt(f)
+	r := g.requests[slot]
+	if !r.inUse || r.id != id {
+		return nil
 	}
-	g.Loop.Cancel(&q.timer)
-	q.live = false
-	q.model.refs--
-	q.model = nil
-	g.free = append(g.free, int32(q.id&(1<<slotBits-1)))
-	g.inFlight--
+	return r
 }
 
-// timeUp guards rule 1: the decisions answer before the client's time; where they have not, this does. Whatever is
-// still out then has timed out.
-func (g *Gateway) timeUp(q *Request) {
-	if !q.live || q.streaming != nil {
+// releaseRequest frees the slot once the final response is given and every attempt has been reported.
+func (g *Gateway) releaseRequest(r *Request) {
+	if !r.inUse || !r.finished || r.unreportedAttempts > 0 {
 		return
 	}
-	if !q.answered {
-		g.Metrics.guard("late")
-		g.fail(q, true, "the time is up")
-		g.begin()
-		if g.module != nil {
-			g.guard(func() { g.module.RequestCancelled(q.id) })
-		}
+	for i, a := range r.attempts[:r.attemptCount] {
+		r.attempts[i] = nil
+		g.recycleAttempt(a)
 	}
-	for _, f := range q.attempts[:q.attempted] {
-		g.end(f, control.TimedOut)
-	}
-}
-
-// answerAtStop gives the final answer at a stop: shed where trying again is harmless, as no attempt has run or may or the model
-// group is retriable, else failed.
-func (g *Gateway) answerAtStop(q *Request, why string) {
-	harmless := q.streaming == nil && (q.group.effect == control.Retriable || !q.shedTerms().MayHaveRun)
-	if !harmless {
-		g.fail(q, false, why)
-	} else if c := g.final(q, answerShed); c != nil {
-		c.WriteShed(q, 0)
-	}
-}
-
-// shedTerms is what the rules need to know of a request that is to be shed: what has not left yet never will.
-func (q *Request) shedTerms() rules.Request {
-	t := rules.Request{Answered: q.answered, Effect: q.group.effect}
-	for _, f := range q.attempts[:q.attempted] {
-		if f.done && !f.result.NeverRan() || !f.done && f.Worker.link.FullySent(f) {
-			t.MayHaveRun = true
-		}
-	}
-	return t
-}
-
-// fail gives the final answer that promises nothing.
-func (g *Gateway) fail(q *Request, late bool, why string) {
-	if c := g.final(q, answerFailed); c != nil {
-		c.WriteFailure(q, late, why)
-		if q.streaming != nil { // it had begun: it was cut off
-			g.end(q.streaming, control.Cancelled)
-		}
-	}
-}
-
-// final books a final answer of our own, and returns the client to give it to.
-func (g *Gateway) final(q *Request, a answer) ResponseWriter {
-	if q.answered {
-		g.Metrics.guard("second_answer")
-		return nil
-	}
-	c := q.Responder
-	q.Responder = nil
-	g.close(q, a)
-	return c
-}
-
-func (g *Gateway) appendID(b []byte, q *Request) []byte {
-	b = append(b, g.name...)
-	return strconv.AppendUint(b, q.seq, 10)
+	g.Loop.Cancel(&r.deadlineTimer)
+	r.inUse = false
+	r.model.inFlight--
+	r.model = nil
+	g.freeSlots = append(g.freeSlots, int32(slotOf(r.id)))
+	g.inFlight--
 }
 
-// close books the final answer. Rule 1: whatever has not been sent by now never is.
-func (g *Gateway) close(q *Request, a answer) {
-	q.answered = true
-	now := g.Loop.Now()
-	q.group.meter.final(a, now-q.arrivedAt)
-	g.logFinal(q, a, now)
-	g.RecordEvent("final", a.String(), q, nil, now-q.arrivedAt)
-	for _, f := range q.attempts[:q.attempted] {
-		if !f.done && !f.Worker.link.FullySent(f) {
-			g.end(f, control.Cancelled)
-		}
-	}
-	g.Loop.Defer(g.tellFn) // also lets its place go
-	g.ended = append(g.ended, ending{q: q})
+// appendRequestID appends the id of a request that clients and workers see.
+func (g *Gateway) appendRequestID(b []byte, r *Request) []byte {
+	b = append(b, g.requestIDPrefix...)
+	return strconv.AppendUint(b, r.seq, 10)
 }
--- a/internal/platform/client_transport.go
+++ b/internal/platform/client_transport.go
@@ -60,7 +60,7 @@
 	for i, tenant := range c.Tenants {
 		t.tenants[tenant.Name] = i
 	}
-	t.sendRetryAfter = f.set.Is("limits.retry_after")
+	t.sendRetryAfter = f.set.RetryAfter.Allowed
 	t.maxInFlight = c.Limits.Requests
 	t.maxBodyBytes = int64(f.Limits.MemoryMB * (1 << 20) * bodyMemoryFraction)
 	t.maxConns = max(8, f.Limits.Sockets/clientDescriptorDivisor)
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -53,7 +53,7 @@
 		loop.Close()
 		return nil, err
 	}
-	d.watch = newWatchClient(d.Gateway, f.set.Num("rules.drain_grace", 0), d.clients.countDrop, d.clients.workers.resumeSends)
+	d.watch = newWatchClient(d.Gateway, f.drainGrace(), d.clients.countDrop, d.clients.workers.resumeSends)
 	d.clients.sendsHeld = func() bool { return d.watch.sendsHeld }
 	d.stopTimer.Fire = func() { d.Gateway.Stop(d.stopBy - loop.Now()) }
 	d.dropLogTimer.Fire = d.logDrops
--- /dev/null
+++ b/internal/rules/rules.go
@@ -0,0 +1,154 @@
+// Package rules decides whether the rules allow an act towards a client or a worker now: making an attempt, sending its
+// first byte or the rest of it, shedding a request, ordering a load, closing a connection; and which deadline to pass on.
+// Rule 1: each request gets one final response, by the deadline. Rule 2: what must not run twice does not. Rule 3: a worker
+// that is draining or gone gets nothing new.
+//
+// It is pure: state and time go in, Allowed or a typed reason comes out. Package control decides which act is best; what
+// is forbidden is forbidden here, whatever was decided. control has similar checks of its own, so that it does not choose
+// what would be refused; they are kept apart on purpose, as a fault there must not pass here too.
+package rules
+
+import (
+	"math"
+
+	"mastchute/control"
+)
+
+const (
+	// MinDeadlineMillis is the shortest deadline, in ms, that is passed to a worker: 0 would mean none to some.
+	MinDeadlineMillis = 1
+	// MaxDeadlineAge is how old, in seconds, an encoded deadline may be when its message is sent. Rule 1 allows 0.15.
+	MaxDeadlineAge = 0.05
+	// MaxPartialAge is how old, in seconds, a deadline may be when the rest of its message is sent: the part with the
+	// deadline has been sent and cannot be encoded again.
+	MaxPartialAge = 0.1
+
+	// maxRenewals is how often a message is encoded again because its deadline is stale. After that MaxPartialAge
+	// applies instead of MaxDeadlineAge, so that a dispatcher that is slow itself still makes progress.
+	maxRenewals = 3
+)
+
+// Reason is why an act is not allowed. Its text is a value of a metric label.
+type Reason uint8
+
+// The reasons, with the number of the rule that each stems from.
+const (
+	Allowed            Reason = iota // no rule forbids the act
+	AlreadyAnswered                  // rule 1: the final response is given, or the client has disconnected
+	DeadlineExceeded                 // rule 1: the client's deadline has passed
+	WorkerNotReady                   // rule 3: the worker is draining or gone
+	MayHaveRun                       // rule 2: an earlier attempt may have run, and the request must not run twice
+	OutsideDedupScope                // rule 2: the worker does not drop repeats of an earlier attempt that may have run
+	DedupWindowExpired               // rule 2: workers no longer drop repeats of the request
+	StaleDeadline                    // rule 1: the message waited so long that its encoded deadline is wrong
+	ResponseOwed                     // rule 1: a response is owed on the connection
+	reasonCount
+)
+
+var reasonNames = [reasonCount]string{"allowed", "answered", "time_up", "worker_not_ready", "may_have_run", "out_of_scope",
+	"window_over", "stale_deadline", "open_request"}
+
+// String returns the reason as metrics and logs show it.
+func (r Reason) String() string { return reasonNames[r] }
+
+// Rule returns the number of the rule that the reason stems from, 0 for Allowed.
+func (r Reason) Rule() int {
+	switch r {
+	case AlreadyAnswered, DeadlineExceeded, StaleDeadline, ResponseOwed:
+		return 1
+	case MayHaveRun, OutsideDedupScope, DedupWindowExpired:
+		return 2
+	case WorkerNotReady:
+		return 3
+	}
+	return 0
+}
+
+// RequestFacts are the facts about a request that bear on its attempts and its final response. Times are seconds of one
+// monotonic clock.
+type RequestFacts struct {
+	Answered     bool           // the final response is given, or the client has disconnected
+	Deadline     float64        // the client's
+	Effect       control.Effect // of running the request
+	MayHaveRun   bool           // an earlier attempt is in flight or may have run
+	DedupUntil   float64        // when workers cease to drop repeats of it
+	InDedupScope bool           // the worker in question drops repeats of it
+}
+
+// CheckAttempt returns Allowed if an attempt may be made at a worker, and else the reason why not.
+func CheckAttempt(now float64, request RequestFacts, workerReady bool) Reason {
+	switch {
+	case request.Answered:
+		return AlreadyAnswered
+	case !workerReady:
+		return WorkerNotReady
+	case now > request.Deadline:
+		return DeadlineExceeded
+	case !request.MayHaveRun || request.Effect == control.Retriable:
+		return Allowed
+	case request.Effect == control.NonRetriable:
+		return MayHaveRun
+	case !request.InDedupScope:
+		return OutsideDedupScope
+	case now > request.DedupUntil:
+		return DedupWindowExpired
+	}
+	return Allowed
+}
+
+// CheckFirstByte returns Allowed if the first byte of an attempt's message may be sent: the attempt must still be allowed,
+// and the deadline in the message, encoded at encodedAt after so many renewals, must not be stale.
+func CheckFirstByte(now, encodedAt float64, renewals int, request RequestFacts, workerReady bool) Reason {
+	reason := CheckAttempt(now, request, workerReady)
+	if reason != Allowed {
+		return reason
+	}
+	maxAge := MaxDeadlineAge
+	if renewals >= maxRenewals {
+		maxAge = MaxPartialAge
+	}
+	if now-encodedAt > maxAge {
+		return StaleDeadline
+	}
+	return Allowed
+}
+
+// CheckRemainder returns Allowed if the rest of a partly sent message may be sent.
+func CheckRemainder(now, encodedAt float64) Reason {
+	if now-encodedAt > MaxPartialAge {
+		return StaleDeadline
+	}
+	return Allowed
+}
+
+// CheckShed returns Allowed if a client may be told that a retry is harmless.
+func CheckShed(request RequestFacts) Reason {
+	switch {
+	case request.Answered:
+		return AlreadyAnswered
+	case request.MayHaveRun && request.Effect == control.NonRetriable:
+		return MayHaveRun
+	}
+	return Allowed
+}
+
+// CheckLoad returns Allowed if a load may be ordered at a worker.
+func CheckLoad(workerReady bool) Reason {
+	if !workerReady {
+		return WorkerNotReady
+	}
+	return Allowed
+}
+
+// CheckClose returns Allowed if a client's connection may be closed that is not at fault.
+func CheckClose(responsesOwed int) Reason {
+	if responsesOwed > 0 {
+		return ResponseOwed
+	}
+	return Allowed
+}
+
+// WorkerDeadlineMillis returns the deadline to pass to a worker: the time that the client has left, in ms.
+func WorkerDeadlineMillis(now, clientDeadline float64) int64 {
+	return int64(math.Max(MinDeadlineMillis, math.Floor((clientDeadline-now)*1e3)))
+}
