--- a/internal/platform/client_transport.go
+++ b/internal/platform/client_transport.go
@@ -43,7 +43,7 @@
 }
 
 // newClientTransport starts listening by the configuration. sendsHeld is to be set before the loop runs.
-func newClientTransport(g *gateway.Gateway, f *File) (*clientTransport, error) {
+func newClientTransport(g *gateway.Gateway, f *ConfigFile) (*clientTransport, error) {
 	t := &clientTransport{
 		gateway:    g,
 		loop:       g.Loop,
@@ -52,7 +52,7 @@
 		inFlight:   map[requestID]*clientRequest{},
 		dropCounts: map[string]int{},
 	}
-	c := f.host()
+	c := f.gatewayConfig()
 	for i, group := range c.Groups {
 		t.groups[group.Name] = i
 		t.deduped = append(t.deduped, group.Effect == "deduped")
@@ -60,16 +60,16 @@
 	for i, tenant := range c.Tenants {
 		t.tenants[tenant.Name] = i
 	}
-	t.sendRetryAfter = f.set.RetryAfter.Allowed
+	t.sendRetryAfter = f.settings.RetryAfter.Allowed
 	t.maxInFlight = c.Limits.Requests
-	t.maxBodyBytes = int64(f.Limits.MemoryMB * (1 << 20) * bodyMemoryFraction)
-	t.maxConns = max(8, f.Limits.Sockets/clientDescriptorDivisor)
+	t.maxBodyBytes = int64(f.memoryBytes(bodyMemoryFraction))
+	t.maxConns = f.maxClientConns()
 	t.connRing.prev = &t.connRing
 	t.connRing.next = &t.connRing
 	t.drainTimer.Fire = t.closeDrained
 	t.workers.init(t, f)
 	var err error
-	t.listener, err = t.loop.Listen(f.listen, t.accept)
+	t.listener, err = t.loop.Listen(f.listenAddr, t.accept)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/platform/config_file.go
@@ -0,0 +1,193 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/netip"
+	"os"
+	"strconv"
+	"strings"
+
+	"mastchute/control"
+	"mastchute/internal/simwire"
+	"mastchute/internal/syscalls"
+)
+
+const (
+	maxConfigBytes  = 4 << 20 // a larger configuration file is refused unread
+	maxSettingValue = 1e9     // a larger number in the settings is a mistake
+)
+
+var errNoModelGroup = errors.New("there is no model group")
+
+// ConfigFile is the configuration file that the platform writes for a dispatcher.
+type ConfigFile struct {
+	Name   string `json:"name"`
+	Listen string `json:"listen"`
+	Seed   string `json:"seed"`
+	Limits struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	ChangeLog string          `json:"changelog"`
+	Known     WatchResponse   `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+
+	listenAddr, changeLogAddr netip.AddrPort
+	seed                      uint64
+	settingValues             control.SettingValues // the settings, without types
+	settings                  control.Settings      // those of them that the decisions read
+}
+
+// ReadConfigFile reads and checks the configuration file at path.
+func ReadConfigFile(path string) (*ConfigFile, error) {
+	info, err := os.Stat(path)
+	if err == nil && info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("%s has %d bytes; %d at most are read", path, info.Size(), maxConfigBytes)
+	}
+	text, err := syscalls.Default.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	f, err := parseConfig(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return f, nil
+}
+
+// parseConfig parses and checks the text of a configuration file.
+func parseConfig(text []byte) (*ConfigFile, error) {
+	f := &ConfigFile{}
+	err := json.Unmarshal(text, f)
+	if err != nil {
+		return nil, err
+	}
+	err = f.parseFields()
+	if err != nil {
+		return nil, err
+	}
+	if f.Limits.MemoryMB < 1 || f.Limits.Sockets < 2*reservedDescriptors {
+		return nil, fmt.Errorf("limits: %g MB and %d descriptors are too few", f.Limits.MemoryMB, f.Limits.Sockets)
+	}
+	f.settingValues, err = simwire.ParseSettings(f.Settings)
+	if err != nil {
+		return nil, err
+	}
+	f.settings = control.ParseSettings(f.settingValues)
+	err = f.checkSettings()
+	if err != nil {
+		return nil, fmt.Errorf("settings: %s", strings.ReplaceAll(err.Error(), "\n", "; "))
+	}
+	return f, nil
+}
+
+// parseFields parses the addresses and the seed.
+func (f *ConfigFile) parseFields() error {
+	var err error
+	f.listenAddr, err = netip.ParseAddrPort(f.Listen)
+	if err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	f.changeLogAddr, err = netip.ParseAddrPort(f.ChangeLog)
+	if err != nil {
+		return fmt.Errorf("changelog: %w", err)
+	}
+	f.seed, err = strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		return fmt.Errorf("seed: %w", err)
+	}
+	return nil
+}
+
+// checkSettings returns an error for the first unusable settings. A zero counts as absent.
+func (f *ConfigFile) checkSettings() error {
+	if f.settingValues.Number("groups", 0) < 1 {
+		return errNoModelGroup
+	}
+	err := control.Check(f.settings)
+	if err != nil {
+		return err
+	}
+	err = f.checkGroupNames()
+	if err != nil {
+		return err
+	}
+	return f.checkNumbers()
+}
+
+// checkGroupNames checks that each model group has a name of its own.
+func (f *ConfigFile) checkGroupNames() error {
+	indexes := map[string]int{}
+	for i := range f.settings.Groups {
+		name := f.groupName(i)
+		other, duplicate := indexes[name]
+		if name == "" || duplicate {
+			return fmt.Errorf("model group %d has the name %q, which is empty or that of group %d", i, name, other)
+		}
+		indexes[name] = i
+	}
+	return nil
+}
+
+// checkNumbers checks the numbers that only the gateway reads.
+func (f *ConfigFile) checkNumbers() error {
+	for _, name := range []string{"limits.open_cap", "limits.connect_timeout", "limits.conn_idle", "limits.streams_per_conn", "models.order_timeout"} {
+		value, present := f.settingValues[name]
+		if !present {
+			continue
+		}
+		number, ok := value.(float64)
+		if !ok || number < 0 || number > maxSettingValue {
+			return &control.SettingError{Name: name, Value: value, Want: "a number that is not negative"}
+		}
+	}
+	return nil
+}
+
+// groupName returns the name of a model group.
+func (f *ConfigFile) groupName(index int) string {
+	return f.settingValues.Text("groups." + strconv.Itoa(index) + ".name")
+}
+
+// positiveOr returns a number of the settings, or fallback if it is absent or zero.
+func (f *ConfigFile) positiveOr(name string, fallback float64) float64 {
+	number := f.settingValues.Number(name, 0)
+	if number > 0 {
+		return number
+	}
+	return fallback
+}
+
+// drainGrace returns the time in seconds after which a change in the change log counts as known to the dispatcher.
+func (f *ConfigFile) drainGrace() float64 { return f.settingValues.Number("rules.drain_grace", 0) }
+
+// changedFields returns the names of the fields that differ in a newer configuration and cannot change in service.
+func (f *ConfigFile) changedFields(newer *ConfigFile) (names []string) {
+	for _, field := range []struct {
+		name string
+		same bool
+	}{
+		{"name", f.Name == newer.Name},
+		{"listen", f.Listen == newer.Listen},
+		{"limits", f.Limits == newer.Limits},
+		{"settings", maps.Equal(f.settingValues, newer.settingValues)},
+	} {
+		if !field.same {
+			names = append(names, field.name)
+		}
+	}
+	return names
+}
+
+// maxGroupTimeout returns the longest timeout of the model groups.
+func (f *ConfigFile) maxGroupTimeout() float64 {
+	longest := 0.0
+	for _, group := range f.settings.Groups {
+		longest = max(longest, group.Timeout.Or(0))
+	}
+	return longest
+}
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,9 +12,9 @@
 )
 
 // parseSettings parses a configuration with the given settings text.
-func parseSettings(t *testing.T, settings string) *File {
+func parseSettings(t *testing.T, settings string) *ConfigFile {
 	t.Helper()
-	f, err := parseFile(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},
+	f, err := parseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},
 	"changelog":"127.0.0.1:1","known":{"seq":0,"results":[]},"settings":%s}`, settings))
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		{"name":"unknown","effect":"odd","group":"region"},{"name":"all","effect":"token","group":"zone","window_us":2000000,"aim_us":250000,"deadline_us":3000000}],
 		"tenants":[{"name":"north"},{}],"load_report":{"fields":["queue",5]},"discovery":"subscribe","rules":{"drain_grace_us":1500000},
 		"limits":{"conn_idle_us":0,"connect_timeout_us":125000,"retry_after":true},"family_info":{"order_limit_us":4000000}}`)
-	c := f.host()
+	c := f.gatewayConfig()
 	if want := []config.Group{
 		{Name: "absent", Effect: "non-retriable", SLO: config.S(1), Timeout: config.S(60)},
 		{Name: "zero", Effect: "non-retriable"},
@@ -43,8 +43,8 @@
 	if c.Roster.Discovery != "ask" || c.Limits.ConnectTimeout.Seconds != 0.125 || c.Limits.WorkerIdleTimeout.Seconds != 15 || c.Loads.Timeout.Seconds != 4 {
 		t.Errorf("discovery %s, limits %+v, loads %+v", c.Roster.Discovery, c.Limits, c.Loads)
 	}
-	if f.drainGrace() != 1.5 || f.timeout() != 3 || !f.set.RetryAfter.Allowed || f.set.Discovery.Mode != control.DiscoverySubscribe {
-		t.Errorf("drain grace %g, longest timeout %g, settings %+v", f.drainGrace(), f.timeout(), f.set)
+	if f.drainGrace() != 1.5 || f.maxGroupTimeout() != 3 || !f.settings.RetryAfter.Allowed || f.settings.Discovery.Mode != control.DiscoverySubscribe {
+		t.Errorf("drain grace %g, longest timeout %g, settings %+v", f.drainGrace(), f.maxGroupTimeout(), f.settings)
 	}
 }
 
@@ -59,7 +59,7 @@
 		`{"request_classes":[{"name":"read","aim_us":0}],"limits":{"open_cap":5}}`:       true,
 		`{"request_classes":[{"name":"read"},{"name":"x"}],"limits":{"open_cap":5}}`:     true,
 	} {
-		got := parseSettings(t, before).differs(parseSettings(t, after))
+		got := parseSettings(t, before).changedFields(parseSettings(t, after))
 		if slices.Contains(got, "settings") != changed {
 			t.Errorf("%s: %q differ", after, got)
 		}
@@ -72,14 +72,14 @@
 	log := newFakeChangeLog(t)
 	good := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`,
 		log.server.Listener.Addr(), testSettings("load"))
-	f, err := parseFile([]byte(good))
-	if err != nil || f.seed != 0x1f || f.timeout() != 2 || f.values.Text("groups.2.effect") != "non-retriable" ||
-		len(f.set.Groups) != 3 || f.set.Groups[0].Effect != control.Retriable || f.set.Groups[2].Effect != control.NonRetriable {
+	f, err := parseConfig([]byte(good))
+	if err != nil || f.seed != 0x1f || f.maxGroupTimeout() != 2 || f.settingValues.Text("groups.2.effect") != "non-retriable" ||
+		len(f.settings.Groups) != 3 || f.settings.Groups[0].Effect != control.Retriable || f.settings.Groups[2].Effect != control.NonRetriable {
 		t.Errorf("%+v %v", f, err)
 	}
 	for _, bad := range []string{"", "{", strings.Replace(good, "127.0.0.1:0", "nowhere", 1), strings.Replace(good, `"1f"`, `"x"`, 1),
 		strings.Replace(good, `"sockets":256`, `"sockets":8`, 1), strings.Replace(good, "request_classes", "x", 1)} {
-		if _, err := parseFile([]byte(bad)); err == nil {
+		if _, err := parseConfig([]byte(bad)); err == nil {
 			t.Errorf("%.60q is taken", bad)
 		}
 	}
@@ -96,19 +96,19 @@
 		{`"request_classes":` + testGroups, `"request_classes":9e9`}: "groups",
 	} {
 		text := strings.Replace(good, setting[0], setting[1], 1)
-		if _, err := parseFile([]byte(text)); text == good || err == nil || !strings.Contains(err.Error(), named) || strings.Contains(err.Error(), "\n") {
+		if _, err := parseConfig([]byte(text)); text == good || err == nil || !strings.Contains(err.Error(), named) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", setting[1], err)
 		}
 	}
 	for _, setting := range [][2]string{{`"effect":"pure"`, `"effect":"as_yet_unknown"`}, {`"discovery":"automatic"`, `"discovery":"gossip"`},
 		{`"fall_us":1000000`, `"fall_us":0`}, {`"open_cap":20000`, `"open_cap":0,"brand_new":{"a":[1]}`}, {`"peers_total":1,`, ``}} {
 		text := strings.Replace(good, setting[0], setting[1], 1)
-		if f, err := parseFile([]byte(text)); text == good || err != nil || f.host().Limits.Requests < 1 {
+		if f, err := parseConfig([]byte(text)); text == good || err != nil || f.gatewayConfig().Limits.Requests < 1 {
 			t.Errorf("%s: %v", setting[1], err)
 		}
 	}
-	f, err = parseFile([]byte(strings.Replace(good, `"effect":"pure"`, `"effect":"pure","aim_stretch":4.5`, 1)))
-	if err != nil || f.set.Groups[0].SLOStretch != 4.5 {
+	f, err = parseConfig([]byte(strings.Replace(good, `"effect":"pure"`, `"effect":"pure","aim_stretch":4.5`, 1)))
+	if err != nil || f.settings.Groups[0].SLOStretch != 4.5 {
 		t.Errorf("%v %v", f, err)
 	}
 	t.Setenv("LB_CONFIG", t.TempDir()+"/none")
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -24,9 +24,9 @@
 	clients      *clientTransport
 	watch        *watchClient
 	logger       zerolog.Logger
-	config       *File   // in force since the start, except for the change log's address
-	maxTimeout   float64 // s, the longest of the model groups'
-	stopBy       float64 // on the loop's clock: when all must be answered, once shutdown has begun
+	config       *ConfigFile // in force since the start, except for the change log's address
+	maxTimeout   float64     // s, the longest of the model groups'
+	stopBy       float64     // on the loop's clock: when all must be answered, once shutdown has begun
 	stopTimer    eventloop.Timer
 	dropLogTimer eventloop.Timer
 	loggedDrops  map[string]int // by reason, as last logged
@@ -35,7 +35,7 @@
 
 // New returns a dispatcher for a configuration, which listens already. It serves once its loop runs. When New fails, all
 // that was opened is closed.
-func New(f *File, log zerolog.Logger) (*Dispatcher, error) {
+func New(f *ConfigFile, log zerolog.Logger) (*Dispatcher, error) {
 	loop, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 		Loop:        loop,
 		logger:      log,
 		config:      f,
-		maxTimeout:  f.timeout(),
+		maxTimeout:  f.maxGroupTimeout(),
 		loggedDrops: map[string]int{},
 		loopDone:    make(chan error, 1),
 	}
@@ -65,36 +65,41 @@
 // newGateway makes the gateway with the platform's client transport.
 func (d *Dispatcher) newGateway() error {
 	f := d.config
-	o := gateway.Options{Config: f.host(), Settings: f.set, Seed: f.seed, Source: membership.SourceChangeLog,
-		MaxModels: int(f.Limits.MemoryMB * (1 << 20) * modelMemoryFraction / bytesPerModel)}
-	o.NewClientTransport = func(g *gateway.Gateway) (gateway.ClientTransport, error) {
-		clients, err := newClientTransport(g, f)
-		d.clients = clients
-		return clients, err
+	options := gateway.Options{
+		Config:    f.gatewayConfig(),
+		Settings:  f.settings,
+		Seed:      f.seed,
+		Source:    membership.SourceChangeLog,
+		MaxModels: f.maxModels(),
+		NewClientTransport: func(g *gateway.Gateway) (gateway.ClientTransport, error) {
+			clients, err := newClientTransport(g, f)
+			d.clients = clients
+			return clients, err
+		},
 	}
 	newModule := func(seed uint64, settings control.Settings, actions control.Actions) control.Module {
 		return control.New(seed, settings, actions)
 	}
 	var err error
-	d.Gateway, err = gateway.New(d.Loop, o, d.logger, newModule)
+	d.Gateway, err = gateway.New(d.Loop, options, d.logger, newModule)
 	return err
 }
 
 // watchChangeLog applies the workers that a configuration has, and follows the change log at its address.
-func (d *Dispatcher) watchChangeLog(f *File) {
+func (d *Dispatcher) watchChangeLog(f *ConfigFile) {
 	err := d.watch.applyResponse(&f.Known)
 	if err != nil {
 		d.logger.Error().Err(err).Msg("worker list of the configuration not applied")
 	}
-	d.watch.watch(f.changeLog)
+	d.watch.watch(f.changeLogAddr)
 }
 
 // Reload puts the parts of a new configuration into force that can change in service: the change log's address, and the
 // workers known from it. Other fields that changed are logged.
-func (d *Dispatcher) Reload(f *File) {
+func (d *Dispatcher) Reload(f *ConfigFile) {
 	d.logger.Info().Str("change_log", f.ChangeLog).Msg("configuration reloaded")
 	d.Gateway.RecordEvent("reload", "", nil, nil, 0)
-	fields := d.config.differs(f)
+	fields := d.config.changedFields(f)
 	if len(fields) > 0 {
 		d.logger.Warn().Strs("fields", fields).Msg("changed fields take effect after a restart only")
 	}
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -20,7 +20,7 @@
 	t          *testing.T
 	dispatcher *Dispatcher
 	changeLog  *fakeChangeLog
-	config     *File
+	config     *ConfigFile
 }
 
 // testGroups are model groups of each effect: read may be retried, write is deduplicated, once may not be retried.
@@ -37,12 +37,12 @@
 }
 
 // testConfig returns a configuration that has the events of a change log.
-func testConfig(t *testing.T, log *fakeChangeLog, onMiss string) *File {
+func testConfig(t *testing.T, log *fakeChangeLog, onMiss string) *ConfigFile {
 	t.Helper()
 	log.mu.Lock()
 	known := log.eventsSince(0)
 	log.mu.Unlock()
-	f, err := parseFile([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
+	f, err := parseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
 	"changelog":%q,"known":%s,"settings":%s}`, log.server.Listener.Addr(), known, testSettings(onMiss))))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/readiness_test.go
+++ b/internal/platform/readiness_test.go
@@ -56,7 +56,7 @@
 			h := &harness{t: t, changeLog: newFakeChangeLog(t)}
 			h.changeLog.publish(true, worker.memberJSON("active", 0))
 			h.config = testConfig(t, h.changeLog, "load")
-			h.config.changeLog = addr
+			h.config.changeLogAddr = addr
 			h.start()
 			client := h.dial()
 			client.Write(aliveFrame(1))
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -51,7 +51,7 @@
 	if !strings.Contains(out.String(), `["name","limits"]`) {
 		t.Errorf("%s", out.String())
 	}
-	if h.config.differs(h.config) != nil {
+	if h.config.changedFields(h.config) != nil {
 		t.Error("fields changed between a configuration and itself")
 	}
 	out.Reset()
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -66,13 +66,13 @@
 }
 
 // limitRuntime sets the limits of the Go runtime by those of the configuration.
-func limitRuntime(f *File) {
-	debug.SetMemoryLimit(int64(f.Limits.MemoryMB * (1 << 20) * heapLimitFraction))
+func limitRuntime(f *ConfigFile) {
+	debug.SetMemoryLimit(int64(f.memoryBytes(heapLimitFraction)))
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(1)
 }
 
-func logServing(log zerolog.Logger, f *File) {
+func logServing(log zerolog.Logger, f *ConfigFile) {
 	log.Info().
 		Str("name", f.Name).
 		Str("listen", f.Listen).
@@ -84,11 +84,11 @@
 
 // readConfigWithRetry reads the configuration for a start. It retries while the file is half written or cannot be read for
 // a moment, and returns errStopRequested after a stop signal.
-func readConfigWithRetry(path string, signals *lifecycle.Signals) (*File, error) {
+func readConfigWithRetry(path string, signals *lifecycle.Signals) (*ConfigFile, error) {
 	transient := lifecycle.NewRetry(time.Now(), transientReadRetryFor)
 	invalid := lifecycle.NewRetry(time.Now(), invalidReadRetryFor)
 	for {
-		f, err := ReadFile(path)
+		f, err := ReadConfigFile(path)
 		if err == nil || path == "" {
 			return f, err
 		}
@@ -108,7 +108,7 @@
 // newWithRetry makes a dispatcher. It retries while another process holds the address, usually the previous one that is
 // about to end, or while the machine lacks a resource. A reload signal meanwhile reads the configuration again; after a
 // stop signal it returns errStopRequested.
-func newWithRetry(f *File, path string, log zerolog.Logger, signals *lifecycle.Signals) (*Dispatcher, error) {
+func newWithRetry(f *ConfigFile, path string, log zerolog.Logger, signals *lifecycle.Signals) (*Dispatcher, error) {
 	retry := lifecycle.NewRetry(time.Now(), listenRetryFor)
 	for {
 		d, err := New(f, log)
@@ -121,7 +121,7 @@
 		case lifecycle.StopRequested:
 			return nil, errStopRequested
 		case lifecycle.ReloadRequested:
-			reloaded, err := ReadFile(path)
+			reloaded, err := ReadConfigFile(path)
 			if err != nil {
 				log.Error().Err(err).Msg(reloadFailedMessage)
 			} else {
@@ -181,7 +181,7 @@
 // reload reads the configuration and passes it to the dispatcher's loop, or schedules a retry.
 func (r *reloader) reload() {
 	r.retryTimer = nil
-	f, err := ReadFile(r.path)
+	f, err := ReadConfigFile(r.path)
 	if err == nil {
 		r.loggedFailure = ""
 		r.dispatcher.Loop.Post(func() { r.dispatcher.Reload(f) })
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -29,7 +29,7 @@
 	}
 	defer previous.Close()
 	f := testConfig(t, newFakeChangeLog(t), "load")
-	f.listen = netip.MustParseAddrPort(previous.Addr().String())
+	f.listenAddr = netip.MustParseAddrPort(previous.Addr().String())
 	signals := lifecycle.NewSignals()
 	signals.Reload <- syscall.SIGHUP
 	signals.Stop <- syscall.SIGTERM
@@ -79,7 +79,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	free := configJSON(t)
 	held := strings.Replace(free, "127.0.0.1:0", previous.Addr().String(), 1)
-	f, err := parseFile([]byte(held))
+	f, err := parseConfig([]byte(held))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -26,17 +26,18 @@
 	lastTag            uint64             // the latest number from which a control call's tag was made
 }
 
-func (p *workerPool) init(t *clientTransport, f *File) {
-	c := f.host()
+// init sets the pool up for a transport whose other fields are set.
+func (p *workerPool) init(t *clientTransport, f *ConfigFile) {
+	c := f.gatewayConfig()
 	p.clients = t
 	p.gateway = t.gateway
 	p.loop = t.loop
 	p.loadReportFields = c.Report
 	p.conns = map[*workerConn]struct{}{}
-	p.maxStreams = int(f.positive("limits.streams_per_conn", streamsUsual))
+	p.maxStreams = int(f.positiveOr("limits.streams_per_conn", defaultMaxStreams))
 	p.connectTimeout = c.Limits.ConnectTimeout.Seconds
 	p.idleTimeout = c.Limits.WorkerIdleTimeout.Seconds * idleTimeoutFraction
-	p.maxConns = max(1, f.Limits.Sockets-t.maxConns-reserved)
+	p.maxConns = f.maxWorkerConns()
 }
 
 // onCapacityFreed schedules the transports that wait for a descriptor: a connection has ended or become idle.
