--- a/internal/platform/client_transport.go
+++ b/internal/platform/client_transport.go
@@ -43,8 +43,8 @@
 }
 
 // newClientTransport starts listening by the configuration. sendsHeld is to be set before the loop runs.
-func newClientTransport(g *gateway.Gateway, f *ConfigFile) (*clientTransport, error) {
-	t := &clientTransport{
+func newClientTransport(g *gateway.Gateway, file *ConfigFile) (*clientTransport, error) {
+	transport := &clientTransport{
 		gateway:    g,
 		loop:       g.Loop,
 		groups:     map[string]int{},
@@ -52,30 +52,30 @@
 		inFlight:   map[requestID]*clientRequest{},
 		dropCounts: map[string]int{},
 	}
-	c := f.gatewayConfig()
-	for i, group := range c.Groups {
-		t.groups[group.Name] = i
-		t.deduped = append(t.deduped, group.Effect == "deduped")
+	gatewayConfig := file.gatewayConfig()
+	for i, group := range gatewayConfig.Groups {
+		transport.groups[group.Name] = i
+		transport.deduped = append(transport.deduped, group.Effect == "deduped")
 	}
-	for i, tenant := range c.Tenants {
-		t.tenants[tenant.Name] = i
+	for i, tenant := range gatewayConfig.Tenants {
+		transport.tenants[tenant.Name] = i
 	}
-	t.sendRetryAfter = f.settings.RetryAfter.Allowed
-	t.maxInFlight = c.Limits.Requests
-	t.maxBodyBytes = int64(f.memoryBytes(bodyMemoryFraction))
-	t.maxConns = f.maxClientConns()
-	t.connRing.prev = &t.connRing
-	t.connRing.next = &t.connRing
-	t.drainTimer.Fire = t.closeDrained
-	t.workers.init(t, f)
+	transport.sendRetryAfter = file.settings.RetryAfter.Allowed
+	transport.maxInFlight = gatewayConfig.Limits.Requests
+	transport.maxBodyBytes = int64(file.memoryBytes(bodyMemoryFraction))
+	transport.maxConns = file.maxClientConns()
+	transport.connRing.prev = &transport.connRing
+	transport.connRing.next = &transport.connRing
+	transport.drainTimer.Fire = transport.closeDrained
+	transport.workers.init(transport, file)
 	var err error
-	t.listener, err = t.loop.Listen(f.listenAddr, t.accept)
+	transport.listener, err = transport.loop.Listen(file.listenAddr, transport.accept)
 	if err != nil {
 		return nil, err
 	}
-	t.listener.Room = t.hasCapacity
-	t.loop.OnDescriptorShortage = t.freeDescriptor
-	return t, nil
+	transport.listener.Room = transport.hasCapacity
+	transport.loop.OnDescriptorShortage = transport.freeDescriptor
+	return transport, nil
 }
 
 // NewWorkerTransport implements gateway.ClientTransport.
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -61,28 +61,28 @@
 
 // parseConfig parses and checks the text of a configuration file.
 func parseConfig(text []byte) (*ConfigFile, error) {
-	f := &ConfigFile{}
-	err := json.Unmarshal(text, f)
+	file := &ConfigFile{}
+	err := json.Unmarshal(text, file)
 	if err != nil {
 		return nil, err
 	}
-	err = f.parseFields()
+	err = file.parseFields()
 	if err != nil {
 		return nil, err
 	}
-	if f.Limits.MemoryMB < 1 || f.Limits.Sockets < 2*reservedDescriptors {
-		return nil, fmt.Errorf("limits: %g MB and %d descriptors are too few", f.Limits.MemoryMB, f.Limits.Sockets)
+	if file.Limits.MemoryMB < 1 || file.Limits.Sockets < 2*reservedDescriptors {
+		return nil, fmt.Errorf("limits: %g MB and %d descriptors are too few", file.Limits.MemoryMB, file.Limits.Sockets)
 	}
-	f.settingValues, err = simwire.ParseSettings(f.Settings)
+	file.settingValues, err = simwire.ParseSettings(file.Settings)
 	if err != nil {
 		return nil, err
 	}
-	f.settings = control.ParseSettings(f.settingValues)
-	err = f.checkSettings()
+	file.settings = control.ParseSettings(file.settingValues)
+	err = file.checkSettings()
 	if err != nil {
 		return nil, fmt.Errorf("settings: %s", strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
-	return f, nil
+	return file, nil
 }
 
 // parseFields parses the addresses and the seed.
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -14,12 +14,12 @@
 // parseSettings parses a configuration with the given settings text.
 func parseSettings(t *testing.T, settings string) *ConfigFile {
 	t.Helper()
-	f, err := parseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},
+	file, err := parseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},
 	"changelog":"127.0.0.1:1","known":{"seq":0,"results":[]},"settings":%s}`, settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return file
 }
 
 // TestHostConfiguration: the host has the settings as they are written, also a zero; where they are absent it has defaults.
@@ -69,18 +69,18 @@
 // A configuration with an invalid part is refused with an error that names the part, in one line. Unknown names and values
 // that the platform may add later are accepted.
 func TestConfigurationIsChecked(t *testing.T) {
-	log := newFakeChangeLog(t)
-	good := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`,
-		log.server.Listener.Addr(), testSettings("load"))
-	f, err := parseConfig([]byte(good))
+	changeLog := newFakeChangeLog(t)
+	valid := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"1f","limits":{"cores":1,"memory_mb":32,"sockets":256},"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`,
+		changeLog.server.Listener.Addr(), testSettings("load"))
+	f, err := parseConfig([]byte(valid))
 	if err != nil || f.seed != 0x1f || f.maxGroupTimeout() != 2 || f.settingValues.Text("groups.2.effect") != "non-retriable" ||
 		len(f.settings.Groups) != 3 || f.settings.Groups[0].Effect != control.Retriable || f.settings.Groups[2].Effect != control.NonRetriable {
 		t.Errorf("%+v %v", f, err)
 	}
-	for _, bad := range []string{"", "{", strings.Replace(good, "127.0.0.1:0", "nowhere", 1), strings.Replace(good, `"1f"`, `"x"`, 1),
-		strings.Replace(good, `"sockets":256`, `"sockets":8`, 1), strings.Replace(good, "request_classes", "x", 1)} {
+	for _, bad := range []string{"", "{", strings.Replace(valid, "127.0.0.1:0", "nowhere", 1), strings.Replace(valid, `"1f"`, `"x"`, 1),
+		strings.Replace(valid, `"sockets":256`, `"sockets":8`, 1), strings.Replace(valid, "request_classes", "x", 1)} {
 		if _, err := parseConfig([]byte(bad)); err == nil {
-			t.Errorf("%.60q is taken", bad)
+			t.Errorf("%.60q is accepted", bad)
 		}
 	}
 	for setting, named := range map[[2]string]string{
@@ -95,19 +95,19 @@
 		{`"request_classes":` + testGroups, `"request_classes":3`}:   "model group 0",
 		{`"request_classes":` + testGroups, `"request_classes":9e9`}: "groups",
 	} {
-		text := strings.Replace(good, setting[0], setting[1], 1)
-		if _, err := parseConfig([]byte(text)); text == good || err == nil || !strings.Contains(err.Error(), named) || strings.Contains(err.Error(), "\n") {
+		text := strings.Replace(valid, setting[0], setting[1], 1)
+		if _, err := parseConfig([]byte(text)); text == valid || err == nil || !strings.Contains(err.Error(), named) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", setting[1], err)
 		}
 	}
 	for _, setting := range [][2]string{{`"effect":"pure"`, `"effect":"as_yet_unknown"`}, {`"discovery":"automatic"`, `"discovery":"gossip"`},
 		{`"fall_us":1000000`, `"fall_us":0`}, {`"open_cap":20000`, `"open_cap":0,"brand_new":{"a":[1]}`}, {`"peers_total":1,`, ``}} {
-		text := strings.Replace(good, setting[0], setting[1], 1)
-		if f, err := parseConfig([]byte(text)); text == good || err != nil || f.gatewayConfig().Limits.Requests < 1 {
+		text := strings.Replace(valid, setting[0], setting[1], 1)
+		if f, err := parseConfig([]byte(text)); text == valid || err != nil || f.gatewayConfig().Limits.Requests < 1 {
 			t.Errorf("%s: %v", setting[1], err)
 		}
 	}
-	f, err = parseConfig([]byte(strings.Replace(good, `"effect":"pure"`, `"effect":"pure","aim_stretch":4.5`, 1)))
+	f, err = parseConfig([]byte(strings.Replace(valid, `"effect":"pure"`, `"effect":"pure","aim_stretch":4.5`, 1)))
 	if err != nil || f.settings.Groups[0].SLOStretch != 4.5 {
 		t.Errorf("%v %v", f, err)
 	}
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -35,44 +35,44 @@
 
 // New returns a dispatcher for a configuration, which listens already. It serves once its loop runs. When New fails, all
 // that was opened is closed.
-func New(f *ConfigFile, log zerolog.Logger) (*Dispatcher, error) {
+func New(file *ConfigFile, log zerolog.Logger) (*Dispatcher, error) {
 	loop, err := eventloop.New(0)
 	if err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{
+	dispatcher := &Dispatcher{
 		Loop:        loop,
 		logger:      log,
-		config:      f,
-		maxTimeout:  f.maxGroupTimeout(),
+		config:      file,
+		maxTimeout:  file.maxGroupTimeout(),
 		loggedDrops: map[string]int{},
 		loopDone:    make(chan error, 1),
 	}
-	err = d.newGateway()
+	err = dispatcher.newGateway()
 	if err != nil {
 		loop.Close()
 		return nil, err
 	}
-	d.watch = newWatchClient(d.Gateway, f.drainGrace(), d.clients.countDrop, d.clients.workers.resumeSends)
-	d.clients.sendsHeld = func() bool { return d.watch.sendsHeld }
-	d.stopTimer.Fire = func() { d.Gateway.Stop(d.stopBy - loop.Now()) }
-	d.dropLogTimer.Fire = d.logDrops
-	loop.Defer(func() { d.watchChangeLog(f) })
-	loop.Defer(func() { loop.Start(&d.dropLogTimer, dropLogInterval) })
-	return d, nil
+	dispatcher.watch = newWatchClient(dispatcher.Gateway, file.drainGrace(), dispatcher.clients.countDrop, dispatcher.clients.workers.resumeSends)
+	dispatcher.clients.sendsHeld = func() bool { return dispatcher.watch.sendsHeld }
+	dispatcher.stopTimer.Fire = func() { dispatcher.Gateway.Stop(dispatcher.stopBy - loop.Now()) }
+	dispatcher.dropLogTimer.Fire = dispatcher.logDrops
+	loop.Defer(func() { dispatcher.watchChangeLog(file) })
+	loop.Defer(func() { loop.Start(&dispatcher.dropLogTimer, dropLogInterval) })
+	return dispatcher, nil
 }
 
 // newGateway makes the gateway with the platform's client transport.
 func (d *Dispatcher) newGateway() error {
-	f := d.config
+	file := d.config
 	options := gateway.Options{
-		Config:    f.gatewayConfig(),
-		Settings:  f.settings,
-		Seed:      f.seed,
+		Config:    file.gatewayConfig(),
+		Settings:  file.settings,
+		Seed:      file.seed,
 		Source:    membership.SourceChangeLog,
-		MaxModels: f.maxModels(),
+		MaxModels: file.maxModels(),
 		NewClientTransport: func(g *gateway.Gateway) (gateway.ClientTransport, error) {
-			clients, err := newClientTransport(g, f)
+			clients, err := newClientTransport(g, file)
 			d.clients = clients
 			return clients, err
 		},
@@ -86,24 +86,24 @@
 }
 
 // watchChangeLog applies the workers that a configuration has, and follows the change log at its address.
-func (d *Dispatcher) watchChangeLog(f *ConfigFile) {
-	err := d.watch.applyResponse(&f.Known)
+func (d *Dispatcher) watchChangeLog(file *ConfigFile) {
+	err := d.watch.applyResponse(&file.Known)
 	if err != nil {
 		d.logger.Error().Err(err).Msg("worker list of the configuration not applied")
 	}
-	d.watch.watch(f.changeLogAddr)
+	d.watch.startPolling(file.changeLogAddr)
 }
 
 // Reload puts the parts of a new configuration into force that can change in service: the change log's address, and the
 // workers known from it. Other fields that changed are logged.
-func (d *Dispatcher) Reload(f *ConfigFile) {
-	d.logger.Info().Str("change_log", f.ChangeLog).Msg("configuration reloaded")
+func (d *Dispatcher) Reload(file *ConfigFile) {
+	d.logger.Info().Str("change_log", file.ChangeLog).Msg("configuration reloaded")
 	d.Gateway.RecordEvent("reload", "", nil, nil, 0)
-	fields := d.config.changedFields(f)
+	fields := d.config.changedFields(file)
 	if len(fields) > 0 {
 		d.logger.Warn().Strs("fields", fields).Msg("changed fields take effect after a restart only")
 	}
-	d.watchChangeLog(f)
+	d.watchChangeLog(file)
 }
 
 // Stop begins a graceful shutdown: requests are accepted for a while, then what is in flight is answered, and the loop
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -42,12 +42,12 @@
 	log.mu.Lock()
 	known := log.eventsSince(0)
 	log.mu.Unlock()
-	f, err := parseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
+	file, err := parseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
 	"changelog":%q,"known":%s,"settings":%s}`, log.server.Listener.Addr(), known, testSettings(onMiss))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return file
 }
 
 // configJSON returns a configuration file as the platform writes it.
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -40,7 +40,7 @@
 	signals.Notify()
 	defer signals.Close()
 	path := os.Getenv(configPathVariable)
-	f, err := readConfigWithRetry(path, signals)
+	file, err := readConfigWithRetry(path, signals)
 	if errors.Is(err, errStopRequested) {
 		return app.ExitOK
 	}
@@ -48,10 +48,10 @@
 		fmt.Fprintf(out, "mastchute: %s: %v\n", configPathVariable, err)
 		return app.ExitError
 	}
-	limitRuntime(f)
+	limitRuntime(file)
 	log, flush := app.Logger(config.Log{Level: "info", Format: "json"}, out)
 	defer flush()
-	d, err := newWithRetry(f, path, log, signals)
+	dispatcher, err := newWithRetry(file, path, log, signals)
 	if errors.Is(err, errStopRequested) {
 		log.Info().Msg("shutdown signal received before the start was complete")
 		return app.ExitOK
@@ -60,25 +60,25 @@
 		fmt.Fprintln(out, "mastchute:", err)
 		return app.ExitError
 	}
-	go func() { d.loopDone <- d.Loop.Run() }()
-	logServing(log, f)
-	return d.handleSignals(path, signals)
+	go func() { dispatcher.loopDone <- dispatcher.Loop.Run() }()
+	logServing(log, file)
+	return dispatcher.handleSignals(path, signals)
 }
 
 // limitRuntime sets the limits of the Go runtime by those of the configuration.
-func limitRuntime(f *ConfigFile) {
-	debug.SetMemoryLimit(int64(f.memoryBytes(heapLimitFraction)))
+func limitRuntime(file *ConfigFile) {
+	debug.SetMemoryLimit(int64(file.memoryBytes(heapLimitFraction)))
 	debug.SetGCPercent(gcPercent)
 	runtime.GOMAXPROCS(1)
 }
 
-func logServing(log zerolog.Logger, f *ConfigFile) {
+func logServing(log zerolog.Logger, file *ConfigFile) {
 	log.Info().
-		Str("name", f.Name).
-		Str("listen", f.Listen).
-		Float64("memory_mb", f.Limits.MemoryMB).
-		Int("sockets", f.Limits.Sockets).
-		Float64("cores", math.Round(f.Limits.Cores*100)/100).
+		Str("name", file.Name).
+		Str("listen", file.Listen).
+		Float64("memory_mb", file.Limits.MemoryMB).
+		Int("sockets", file.Limits.Sockets).
+		Float64("cores", math.Round(file.Limits.Cores*100)/100).
 		Msg("serving")
 }
 
@@ -88,9 +88,9 @@
 	transient := lifecycle.NewRetry(time.Now(), transientReadRetryFor)
 	invalid := lifecycle.NewRetry(time.Now(), invalidReadRetryFor)
 	for {
-		f, err := ReadConfigFile(path)
+		file, err := ReadConfigFile(path)
 		if err == nil || path == "" {
-			return f, err
+			return file, err
 		}
 		retry := &invalid
 		if lifecycle.IsTransient(err) {
@@ -108,12 +108,12 @@
 // newWithRetry makes a dispatcher. It retries while another process holds the address, usually the previous one that is
 // about to end, or while the machine lacks a resource. A reload signal meanwhile reads the configuration again; after a
 // stop signal it returns errStopRequested.
-func newWithRetry(f *ConfigFile, path string, log zerolog.Logger, signals *lifecycle.Signals) (*Dispatcher, error) {
+func newWithRetry(file *ConfigFile, path string, log zerolog.Logger, signals *lifecycle.Signals) (*Dispatcher, error) {
 	retry := lifecycle.NewRetry(time.Now(), listenRetryFor)
 	for {
-		d, err := New(f, log)
+		dispatcher, err := New(file, log)
 		if err == nil || !isRetriableStart(err) {
-			return d, err
+			return dispatcher, err
 		}
 		switch signals.Await(&retry, maxListenRetryGap, signals.Reload) {
 		case lifecycle.RetriesExhausted:
@@ -125,7 +125,7 @@
 			if err != nil {
 				log.Error().Err(err).Msg(reloadFailedMessage)
 			} else {
-				f = reloaded
+				file = reloaded
 			}
 		}
 	}
@@ -181,10 +181,10 @@
 // reload reads the configuration and passes it to the dispatcher's loop, or schedules a retry.
 func (r *reloader) reload() {
 	r.retryTimer = nil
-	f, err := ReadConfigFile(r.path)
+	file, err := ReadConfigFile(r.path)
 	if err == nil {
 		r.loggedFailure = ""
-		r.dispatcher.Loop.Post(func() { r.dispatcher.Reload(f) })
+		r.dispatcher.Loop.Post(func() { r.dispatcher.Reload(file) })
 		return
 	}
 	failure := err.Error()
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -28,17 +28,17 @@
 		t.Fatal(err)
 	}
 	defer previous.Close()
-	f := testConfig(t, newFakeChangeLog(t), "load")
-	f.listenAddr = netip.MustParseAddrPort(previous.Addr().String())
+	file := testConfig(t, newFakeChangeLog(t), "load")
+	file.listenAddr = netip.MustParseAddrPort(previous.Addr().String())
 	signals := lifecycle.NewSignals()
 	signals.Reload <- syscall.SIGHUP
 	signals.Stop <- syscall.SIGTERM
-	if d, err := newWithRetry(f, "", zerolog.Nop(), signals); d != nil || !errors.Is(err, errStopRequested) {
-		t.Errorf("after a stop signal: %v %v", d, err)
+	if dispatcher, err := newWithRetry(file, "", zerolog.Nop(), signals); dispatcher != nil || !errors.Is(err, errStopRequested) {
+		t.Errorf("after a stop signal: %v %v", dispatcher, err)
 	}
 	before := countDescriptors()
 	for range 3 {
-		if _, err := New(f, zerolog.Nop()); err == nil {
+		if _, err := New(file, zerolog.Nop()); err == nil {
 			t.Fatal("two processes hold one address")
 		}
 	}
@@ -46,11 +46,11 @@
 		t.Errorf("%d descriptors after failed starts, %d before", n, before)
 	}
 	previous.Close()
-	d, err := newWithRetry(f, "", zerolog.Nop(), signals)
+	dispatcher, err := newWithRetry(file, "", zerolog.Nop(), signals)
 	if err != nil {
 		t.Fatal(err)
 	}
-	runOnce(t, d)
+	runOnce(t, dispatcher)
 }
 
 // countDescriptors returns how many descriptors the process has open.
@@ -60,11 +60,11 @@
 }
 
 // runOnce runs a dispatcher's loop until it ends, which is at once.
-func runOnce(t *testing.T, d *Dispatcher) {
+func runOnce(t *testing.T, dispatcher *Dispatcher) {
 	t.Helper()
-	go func() { d.loopDone <- d.Loop.Run() }()
-	d.Loop.Stop()
-	if err := <-d.loopDone; err != nil {
+	go func() { dispatcher.loopDone <- dispatcher.Loop.Run() }()
+	dispatcher.Loop.Stop()
+	if err := <-dispatcher.loopDone; err != nil {
 		t.Error(err)
 	}
 }
@@ -79,23 +79,23 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	free := configJSON(t)
 	held := strings.Replace(free, "127.0.0.1:0", previous.Addr().String(), 1)
-	f, err := parseConfig([]byte(held))
+	file, err := parseConfig([]byte(held))
 	if err != nil {
 		t.Fatal(err)
 	}
 	os.WriteFile(path, []byte(free), 0o600)
 	signals := lifecycle.NewSignals()
 	signals.Reload <- syscall.SIGHUP
-	d, err := newWithRetry(f, path, zerolog.Nop(), signals)
-	if err != nil || d == nil {
-		t.Fatalf("%v %v", d, err)
+	dispatcher, err := newWithRetry(file, path, zerolog.Nop(), signals)
+	if err != nil || dispatcher == nil {
+		t.Fatalf("%v %v", dispatcher, err)
 	}
-	runOnce(t, d)
+	runOnce(t, dispatcher)
 	os.WriteFile(path, []byte("{"), 0o600) // an invalid configuration does not replace the previous one
 	signals.Reload <- syscall.SIGHUP
 	signals.Stop <- syscall.SIGTERM
-	if d, err := newWithRetry(f, path, zerolog.Nop(), signals); d != nil || !errors.Is(err, errStopRequested) {
-		t.Errorf("after a stop signal: %v %v", d, err)
+	if dispatcher, err := newWithRetry(file, path, zerolog.Nop(), signals); dispatcher != nil || !errors.Is(err, errStopRequested) {
+		t.Errorf("after a stop signal: %v %v", dispatcher, err)
 	}
 }
 
--- a/internal/platform/watch_client.go
+++ b/internal/platform/watch_client.go
@@ -33,7 +33,7 @@
 	countFailure func(reason string)
 
 	// The poll in flight.
-	pool          *httpconn.Pool // nil until watch is called
+	pool          *httpconn.Pool // nil until startPolling is called
 	call          httpconn.Call
 	body          []byte
 	unusable      bool // the response is too long or has a status other than 200
@@ -73,8 +73,8 @@
 	return w
 }
 
-// watch polls the change log at an address from now on.
-func (w *watchClient) watch(addr netip.AddrPort) {
+// startPolling polls the change log at an address from now on.
+func (w *watchClient) startPolling(addr netip.AddrPort) {
 	if w.pool != nil {
 		w.call.Cancel()
 		w.pool.Close()
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -27,17 +27,17 @@
 }
 
 // init sets the pool up for a transport whose other fields are set.
-func (p *workerPool) init(t *clientTransport, f *ConfigFile) {
-	c := f.gatewayConfig()
-	p.clients = t
-	p.gateway = t.gateway
-	p.loop = t.loop
-	p.loadReportFields = c.Report
+func (p *workerPool) init(clients *clientTransport, file *ConfigFile) {
+	gatewayConfig := file.gatewayConfig()
+	p.clients = clients
+	p.gateway = clients.gateway
+	p.loop = clients.loop
+	p.loadReportFields = gatewayConfig.Report
 	p.conns = map[*workerConn]struct{}{}
-	p.maxStreams = int(f.positiveOr("limits.streams_per_conn", defaultMaxStreams))
-	p.connectTimeout = c.Limits.ConnectTimeout.Seconds
-	p.idleTimeout = c.Limits.WorkerIdleTimeout.Seconds * idleTimeoutFraction
-	p.maxConns = f.maxWorkerConns()
+	p.maxStreams = int(file.positiveOr("limits.streams_per_conn", defaultMaxStreams))
+	p.connectTimeout = gatewayConfig.Limits.ConnectTimeout.Seconds
+	p.idleTimeout = gatewayConfig.Limits.WorkerIdleTimeout.Seconds * idleTimeoutFraction
+	p.maxConns = file.maxWorkerConns()
 }
 
 // onCapacityFreed schedules the transports that wait for a descriptor: a connection has ended or become idle.
