--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -89,7 +89,7 @@
 func (d *Dispatcher) watchChangeLog(file *ConfigFile) {
 	err := d.watch.applyResponse(&file.Known)
 	if err != nil {
-		d.logger.Error().Err(err).Msg("worker list of the configuration not applied")
+		d.logger.Error().Err(err).Msg("workers of the configuration rejected")
 	}
 	d.watch.startPolling(file.changeLogAddr)
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	d.clients.stopping = true
-	d.logger.Info().Int("in_flight", d.Gateway.InFlight()).Msg("shutdown signal received")
+	d.logger.Info().Int("in_flight", d.Gateway.InFlight()).Msg("stop requested")
 	requestedAt := d.Loop.ArrivedAt() // earlier than now if the process was stalled when the signal came
 	plan := lifecycle.PlanStop(stopTimes, d.maxTimeout)
 	d.stopBy = requestedAt + plan.AnswerBy
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -28,7 +28,7 @@
 	gcPercent             = 50          // below Go's default: the heap's limit is near
 )
 
-const reloadFailedMessage = "configuration reload failed, the previous one stays in force"
+const reloadFailedMessage = "configuration not reloaded; previous configuration stays in force"
 
 // errStopRequested reports that a stop signal came before the start was complete.
 var errStopRequested = errors.New("stop requested")
@@ -53,7 +53,7 @@
 	defer flush()
 	dispatcher, err := newWithRetry(file, path, log, signals)
 	if errors.Is(err, errStopRequested) {
-		log.Info().Msg("shutdown signal received before the start was complete")
+		log.Info().Msg("stop requested before start")
 		return app.ExitOK
 	}
 	if err != nil {
