--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -3,12 +3,12 @@
 import "bytes"
 
 const (
-	maxRequestFields       = 64 // fields of a request, unknown ones included
-	maxIdempotencyKeyBytes = 64 // bytes
-	idDigits               = 16 // hex digits of a request's id and of a model
-	maxTimeout             = 3600.0
-	maxWork                = 1e6 // s of work or of a load
-	maxAmount              = 1e9 // MB, or requests at a time
+	maxRequestFields       = 64     // fields of a request, unknown ones included
+	maxIdempotencyKeyBytes = 64     // bytes
+	idDigits               = 16     // hex digits of a request's id and of a model
+	maxTimeout             = 3600.0 // s that a client may give a request
+	maxWork                = 1e6    // s of work or of a load: more is a mistake
+	maxAmount              = 1e9    // MB, or requests at a time: more is a mistake
 	secondsPerMilli        = 1e-3
 )
 
