--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -13,6 +13,14 @@
 	"mastchute/internal/gateway"
 )
 
+// Limits on a request, so that a client that stalls does not hold a connection for ever. A response may be long and its
+// client far away.
+const (
+	headTimeout     = 5 * time.Second  // to receive the head
+	requestTimeout  = 10 * time.Second // to receive the whole request
+	responseTimeout = 30 * time.Second // from the end of the head to the end of the response
+)
+
 // Admin is the admin interface of one gateway.
 type Admin struct {
 	gateway  *gateway.Gateway // only its Loop and Metrics are safe to use outside the loop
@@ -29,9 +37,9 @@
 	a := &Admin{gateway: gw, listener: listener}
 	a.server = &http.Server{
 		Handler:           a.routes(),
-		ReadHeaderTimeout: 5 * time.Second,
-		ReadTimeout:       10 * time.Second,
-		WriteTimeout:      30 * time.Second,
+		ReadHeaderTimeout: headTimeout,
+		ReadTimeout:       requestTimeout,
+		WriteTimeout:      responseTimeout,
 	}
 	return a, nil
 }
@@ -51,10 +59,11 @@
 
 // Serve serves until Close. It returns nil after Close.
 func (a *Admin) Serve() error {
-	if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
-		return err
+	err := a.server.Serve(a.listener)
+	if errors.Is(err, http.ErrServerClosed) {
+		return nil
 	}
-	return nil
+	return err
 }
 
 // Close closes the listener and all connections. Requests in flight are not finished.
--- a/internal/admin/handlers.go
+++ b/internal/admin/handlers.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const loopTimeout = 2 * time.Second // the event loop is unhealthy if it takes longer to run a posted function
+const loopTimeout = 2 * time.Second // a loop that has not run a posted function by then is unhealthy
 
 // errLoopTimeout is returned if the event loop did not run a posted function in time.
 var errLoopTimeout = errors.New("the loop does not answer")
--- a/internal/admin/worker.go
+++ b/internal/admin/worker.go
@@ -10,7 +10,7 @@
 	"mastchute/internal/membership"
 )
 
-const maxWorkerBody = 64 << 10 // bytes
+const maxWorkerBody = 64 << 10 // bytes: far above any worker's description
 
 // The errors of a POST /workers whose values cannot be used.
 var (
@@ -58,7 +58,7 @@
 // workerResult is the response to POST /workers.
 type workerResult struct {
 	Name    string `json:"name"`
-	State   string `json:"state"` // in force; stricter than the posted one if another source of the list says so
+	State   string `json:"state"` // in force: the posted one, or a stricter one that another source of the list has
 	Version uint32 `json:"version"`
 }
 
@@ -67,7 +67,8 @@
 	var update workerUpdate
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWorkerBody))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&update); err != nil {
+	err := decoder.Decode(&update)
+	if err != nil {
 		http.Error(w, "not understood: "+err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -95,7 +96,8 @@
 
 // setState applies the entry. It runs on the event loop.
 func (a *Admin) setState(entry membership.Entry) stateChange {
-	if err := a.gateway.SetAdminState(entry); err != nil {
+	err := a.gateway.SetAdminState(entry)
+	if err != nil {
 		return stateChange{err: err}
 	}
 	members := a.gateway.Members
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -42,7 +42,7 @@
 	signals.Notify()
 	defer signals.Close()
 	d, err := startWithRetry(cfg, log, signals)
-	if errors.Is(err, errStopRequested) {
+	if errors.Is(err, lifecycle.ErrStopRequested) {
 		log.Info().Msg("stop requested before start")
 		return ExitOK
 	}
@@ -56,14 +56,14 @@
 	if onServing != nil {
 		onServing(d)
 	}
-	return d.supervise(signals, &reloader{dispatcher: d, file: settingsFile, watcher: watcher})
+	return d.supervise(signals, newReloader(d, settingsFile, watcher))
 }
 
-// supervise handles signals and timers until the event loop has ended, and returns the exit code.
+// supervise handles signals, polls the worker file and retries reloads until the event loop has ended, and returns the exit code.
 func (d *dispatcher) supervise(signals *lifecycle.Signals, reload *reloader) int {
 	poll := time.NewTicker(toDuration(d.cfg.Roster.Every.Seconds))
 	defer poll.Stop()
-	stopped := false
+	stopSignalled := false
 	for {
 		select {
 		case err := <-d.loopEnded:
@@ -73,15 +73,15 @@
 		case <-poll.C:
 			reload.watcher.check()
 		case <-signals.Reload:
-			reload.start()
-		case <-reload.retryTimer:
-			reload.attempt()
+			reload.Start()
+		case <-reload.RetryDue:
+			reload.Retry()
 		case <-signals.Stop:
 			grace := d.cfg.StopGrace.Seconds
-			if stopped { // a second signal ends the grace period
+			if stopSignalled { // a second signal ends the grace period
 				grace = 0
 			}
-			stopped = true
+			stopSignalled = true
 			d.Stop(grace)
 		}
 	}
--- a/internal/app/dispatcher.go
+++ b/internal/app/dispatcher.go
@@ -1,7 +1,6 @@
 package app
 
 import (
-	"errors"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -16,9 +15,6 @@
 
 const startRetrySpan = 5.0 // s for which a start that failed for a transient cause is retried
 
-// errStopRequested is returned if a stop signal arrives before the dispatcher could start.
-var errStopRequested = errors.New("stop requested before start")
-
 // dispatcher is a running dispatcher. Its fields are set before the event loop runs and do not change afterwards.
 type dispatcher struct {
 	gateway   *gateway.Gateway // owned by the event loop
@@ -58,8 +54,8 @@
 	return control.New(seed, settings, actions)
 }
 
-// startWithRetry starts a dispatcher, again if the failure is transient. It returns errStopRequested if a stop signal
-// arrives between two attempts.
+// startWithRetry starts a dispatcher, again if the failure is transient. It returns lifecycle.ErrStopRequested if a stop
+// signal arrives between two attempts.
 func startWithRetry(cfg *config.Config, log zerolog.Logger, signals *lifecycle.Signals) (*dispatcher, error) {
 	backoff := lifecycle.NewRetry(time.Now(), startRetrySpan)
 	for {
@@ -67,11 +63,11 @@
 		if err == nil || !lifecycle.IsTransient(err) {
 			return d, err
 		}
-		switch signals.Await(&backoff, startRetrySpan, nil) {
+		switch signals.Await(&backoff, lifecycle.WholeDelay, nil) {
 		case lifecycle.RetriesExhausted:
 			return nil, err
 		case lifecycle.StopRequested:
-			return nil, errStopRequested
+			return nil, lifecycle.ErrStopRequested
 		}
 	}
 }
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -1,51 +1,46 @@
 package app
 
 import (
-	"time"
-
 	"mastchute/internal/config"
 	"mastchute/internal/gateway"
 	"mastchute/internal/lifecycle"
 	"mastchute/internal/membership"
 )
 
-const reloadRetrySpan = 10.0 // s for which a reload that failed is retried
-
 // reloadable are the settings that a reload applies; config.Config.RestartRequired names the others that differ.
 var reloadable = []string{"workers", "models", "log.level", "log.sample", "roster.file"}
 
-// reloader reads the settings file again and applies what can change in service. A file that cannot be used changes
-// nothing; since it may be incomplete while it is being written, it is read again for a while. The goroutine of
-// run owns it.
+// reloader reads the settings file again and applies what can change in service. The goroutine of run owns it.
 type reloader struct {
+	lifecycle.Reloader
 	dispatcher *dispatcher
 	file       string // empty: there is nothing to reload
 	watcher    *workerFileWatcher
-
-	backoff    lifecycle.Retry
-	retryTimer <-chan time.Time // nil while no retry is due
-	lastError  string           // the failure logged last: each is logged once, not at every retry
 }
 
-// start begins a reload, with retries of its own.
-func (r *reloader) start() {
-	r.backoff = lifecycle.NewRetry(time.Now(), reloadRetrySpan)
-	r.attempt()
+func newReloader(d *dispatcher, file string, watcher *workerFileWatcher) *reloader {
+	r := &reloader{dispatcher: d, file: file, watcher: watcher}
+	r.Reload = r.reload
+	r.LogFailure = r.logFailure
+	r.RelogAfterSpan = true
+	return r
 }
 
-// attempt reads the file once. It sets the retry timer if the file cannot be used.
-func (r *reloader) attempt() {
-	r.retryTimer = nil
+// reload reads the file and applies it, or returns why it cannot be used.
+func (r *reloader) reload() error {
 	if r.file == "" {
-		return
+		return nil
 	}
 	cfg, workers, err := loadSettings(r.file)
 	if err != nil {
-		r.scheduleRetry(err)
-		return
+		return err
 	}
-	r.lastError = ""
 	r.apply(cfg, workers)
+	return nil
+}
+
+func (r *reloader) logFailure(err error) {
+	r.dispatcher.log.Error().Err(err).Msg("settings not reloaded; previous settings stay in force")
 }
 
 func loadSettings(file string) (*config.Config, []membership.Entry, error) {
@@ -60,19 +55,7 @@
 	return cfg, workers, nil
 }
 
-func (r *reloader) scheduleRetry(err error) {
-	if message := err.Error(); message != r.lastError {
-		r.lastError = message
-		r.dispatcher.log.Error().Err(err).Msg("settings not reloaded; previous settings stay in force")
-	}
-	delay, ok := r.backoff.Next(time.Now())
-	if !ok {
-		r.lastError = ""
-		return
-	}
-	r.retryTimer = time.After(delay)
-}
-
+// apply passes the settings to the event loop and the worker file's path to its watcher.
 func (r *reloader) apply(cfg *config.Config, workers []membership.Entry) {
 	d := r.dispatcher
 	log := withLevel(d.log, cfg.Log)
--- a/internal/app/workerfile.go
+++ b/internal/app/workerfile.go
@@ -58,7 +58,7 @@
 	return gateway.MembershipEntries(workers)
 }
 
-// reportError counts and logs a failure, and notifies the decisions, unless it is the one reported last.
+// reportError reports a failure to the gateway, which counts and logs it, unless it is the one reported last.
 func (w *workerFileWatcher) reportError(err error) {
 	message := err.Error()
 	if message == w.lastError {
--- a/internal/lifecycle/backoff.go
+++ b/internal/lifecycle/backoff.go
@@ -5,16 +5,19 @@
 	"time"
 )
 
+// WholeDelay as the longest wait of Signals.Await, in seconds, leaves the backoff's delays as they are.
+const WholeDelay = maxDelay
+
 const (
 	firstDelay = 0.02 // s between a failure and the first retry; each further delay is twice as long
-	maxDelay   = 0.25 // s
+	maxDelay   = 0.25 // s: a start or reload succeeds at most so long after it could
 )
 
 // Retry is an exponential backoff that ends after a span. The zero value has no retries left. It is not safe for
 // concurrent use.
 type Retry struct {
 	end   time.Time
-	delay float64 // s, the latest one
+	delay float64 // s, the latest one; 0 before the first
 }
 
 // NewRetry returns a backoff whose retries end span seconds after now.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
 // Package lifecycle holds what the two ways to run a dispatcher, a settings file and the platform, have in common: the
-// process's signals, the backoff of a failed start or reload, and the time plan of a graceful shutdown. It computes and
-// waits; its callers start, reload and stop.
+// process's signals, the retries of a failed start or reload, and the time plan of a graceful shutdown. It decides when;
+// its callers start, reload and stop.
 package lifecycle
 
 import (
@@ -25,5 +25,8 @@
 	return false
 }
 
+// ErrStopRequested is returned by a start that a stop signal has ended before it was complete.
+var ErrStopRequested = errors.New("stop requested before start")
+
 // seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -54,3 +54,57 @@
 		}
 	}
 }
+
+// A failure is logged once for all retries of a reload, and a success ends the retries.
+func TestReloaderRetries(t *testing.T) {
+	failure := errors.New("half written")
+	var logged []error
+	r := Reloader{
+		Reload:     func() error { return failure },
+		LogFailure: func(err error) { logged = append(logged, err) },
+	}
+	r.Start()
+	if r.RetryDue == nil {
+		t.Error("no retry is due after a failure")
+	}
+	r.Retry()
+	if len(logged) != 1 || logged[0] != failure {
+		t.Errorf("logged %v", logged)
+	}
+	failure = nil
+	r.Retry()
+	if r.RetryDue != nil {
+		t.Error("a retry is due after a success")
+	}
+	failure = errors.New("half written")
+	r.Retry()
+	if len(logged) != 2 {
+		t.Errorf("logged %v: a failure after a success is a new one", logged)
+	}
+}
+
+// After the span there are no retries, and the same failure is logged again only where that is asked for.
+func TestReloaderAfterSpan(t *testing.T) {
+	for _, relog := range []bool{false, true} {
+		logged := 0
+		r := Reloader{
+			Reload:         func() error { return errors.New("half written") },
+			LogFailure:     func(error) { logged++ },
+			RelogAfterSpan: relog,
+		}
+		r.Start()
+		r.backoff = Retry{} // the span has passed
+		r.Retry()
+		if r.RetryDue != nil {
+			t.Errorf("a retry is due after the span, relog %v", relog)
+		}
+		want := 1
+		if relog {
+			want = 2
+		}
+		r.Start()
+		if logged != want {
+			t.Errorf("logged %d times, want %d", logged, want)
+		}
+	}
+}
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Signals are the signals that a dispatcher handles, each kind in a channel of its own with room for one: a burst of one
-// kind drops no other, and a pending one stands for all of its kind that arrived since.
+// Signals are the signals that a dispatcher handles, each kind in a channel of its own that buffers one: a burst of one
+// kind drops no other, and a buffered one represents all of its kind that arrived since.
 type Signals struct {
 	Stop   chan os.Signal // SIGTERM, SIGINT
 	Reload chan os.Signal // SIGHUP
--- a/internal/lifecycle/stopplan.go
+++ b/internal/lifecycle/stopplan.go
@@ -20,6 +20,7 @@
 // PlanStop returns the plan for requests with at most the given deadline. With a short deadline the kill is near, and
 // full service ends sooner.
 func PlanStop(times StopTimes, deadline float64) StopPlan {
-	end := math.Min(deadline, times.MaxDeadline) + times.KillDelay - times.KillMargin
-	return StopPlan{ServeUntil: math.Min(times.MaxServeSpan, math.Max(times.ClientArrivalSpan, end)), AnswerBy: end}
+	answerBy := math.Min(deadline, times.MaxDeadline) + times.KillDelay - times.KillMargin
+	serveUntil := math.Min(times.MaxServeSpan, math.Max(times.ClientArrivalSpan, answerBy))
+	return StopPlan{ServeUntil: serveUntil, AnswerBy: answerBy}
 }
--- a/internal/platform/change_log.go
+++ b/internal/platform/change_log.go
@@ -100,7 +100,7 @@
 		if event.Seq <= w.lastSeq {
 			continue
 		}
-		complete := event.Fleet != nil && event.Fleet.Complete // replaces what the missing events said
+		complete := event.Fleet != nil && event.Fleet.Complete // it replaces the content of the missing events
 		err := w.checkGap(event.Seq-1, complete || w.lastSeq == 0)
 		if err != nil {
 			return err
@@ -191,7 +191,7 @@
 	}
 	w.recordSkipped(reasonChangeLogEntry, err)
 	var named struct{ ID string }
-	_ = json.Unmarshal(text, &named) // without a name nothing is found
+	_ = json.Unmarshal(text, &named) // an empty name is not found below
 	listed := w.gateway.Members.ByName(named.ID)
 	if listed == nil || !listed.Listed {
 		return membership.Entry{}, false
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -8,7 +8,7 @@
 // hasCapacity reports whether another client can be accepted. Until then the client waits in the backlog and is not
 // refused. With evict, an idle connection is closed to make capacity.
 func (t *clientTransport) hasCapacity(evict bool) bool {
-	if t.connCount+t.loop.Lingering() < t.maxConns {
+	if t.clientDescriptors() < t.maxConns {
 		return true
 	}
 	if !evict {
@@ -24,12 +24,12 @@
 // freeDescriptor closes an idle connection, to a worker if there is one, when the process has run out of descriptors. It
 // reports whether one was closed.
 func (t *clientTransport) freeDescriptor() bool {
-	before := t.connCount + len(t.workers.conns)
+	before := t.openConns()
 	t.workers.closeIdleConn()
-	if t.connCount+len(t.workers.conns) == before {
+	if t.openConns() == before {
 		t.closeLongestIdle()
 	}
-	return t.connCount+len(t.workers.conns) < before
+	return t.openConns() < before
 }
 
 // closeLongestIdle closes the connection that longestIdle returns, unless reading shows that it is not idle. It reports
@@ -41,14 +41,14 @@
 			return false
 		}
 		idle.conn.ReadNow()
-		if idle.requestCount > 0 || idle.partialMessage && idle.hasSpoken { // the start of a first message may be a stalled client
+		if idle.isBusy() {
 			continue
 		}
 		if !idle.closed {
 			t.countDrop(reasonIdleClosed)
 			idle.close(reasonIdleClosed)
 		}
-		return t.connCount+t.loop.Lingering() < t.maxConns+reservedForClients
+		return t.clientDescriptors() < t.maxConns+reservedForClients
 	}
 	return false
 }
@@ -61,7 +61,7 @@
 		if !c.evictable() {
 			continue
 		}
-		if !c.hasSpoken {
+		if !c.hasSentMessage {
 			return c
 		}
 		if idle == nil {
@@ -71,10 +71,23 @@
 	return idle
 }
 
+// clientDescriptors returns how many descriptors clients hold, including those of connections that linger for their last
+// response.
+func (t *clientTransport) clientDescriptors() int { return t.connCount + t.loop.Lingering() }
+
+// openConns returns the number of connections to clients and workers.
+func (t *clientTransport) openConns() int { return t.connCount + len(t.workers.conns) }
+
+// isBusy reports whether a request is in flight on the connection or is arriving. A connection that has only ever sent part
+// of its first message is not busy: its client may be stalled.
+func (c *clientConn) isBusy() bool {
+	return c.requestCount > 0 || c.partialMessage && c.hasSentMessage
+}
+
 // evictable reports whether the connection may be closed to make capacity.
 func (c *clientConn) evictable() bool {
-	if c.requestCount > 0 || c.partialMessage && c.hasSpoken {
+	if c.isBusy() {
 		return false
 	}
-	return c.hasSpoken || c.transport.loop.Now()-c.acceptedAt >= firstMessageGrace
+	return c.hasSentMessage || c.transport.loop.Now()-c.acceptedAt >= firstMessageGrace
 }
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -10,7 +10,7 @@
 	firstMessageTimeout   = 1.5       // s until a new connection is closed that has sent nothing: clients connect when they have a request
 	partialMessageTimeout = 1.0       // s a message may take to arrive completely: a client sends it with one write
 	clientIdleTimeout     = 20.0      // s between messages: clients close after a few
-	maxScratchBytes       = 64 << 10  // bytes; a larger scratch buffer is not kept
+	maxScratchBytes       = 64 << 10  // bytes of capacity beyond which a scratch buffer is not kept
 	maxUnreadBytes        = 512 << 10 // bytes of responses that may wait for a client that does not read
 )
 
@@ -23,11 +23,11 @@
 	timer            eventloop.Timer
 	acceptedAt       float64
 	unusableMessages int
-	readCount        uint32      // calls of Received
+	readCount        uint32      // number of calls of Received
 	pausesAtStart    uint32      // the connection's read pauses when the timer for a partial message was started
-	hasSpoken        bool        // a complete message has arrived
+	hasSentMessage   bool        // a complete message has arrived
 	partialMessage   bool        // the beginning of a message has arrived
-	stalled          bool        // and its rest is overdue
+	stalled          bool        // the rest of a partial message is overdue
 	closed           bool        // also while the last responses are being flushed
 	prev, next       *clientConn // in the transport's ring
 }
@@ -104,8 +104,8 @@
 // Flushed implements eventloop.Handler.
 func (c *clientConn) Flushed(*eventloop.Conn) {}
 
-// PeerClosed implements eventloop.HalfCloser. A client that closed its side cannot be told from one that has disconnected,
-// so its requests are abandoned. In case it still reads, each of them gets a final response first.
+// PeerClosed implements eventloop.HalfCloser. A client that closed its side cannot be distinguished from one that has
+// disconnected, so its requests are abandoned. In case it still reads, each of them gets a final response first.
 func (c *clientConn) PeerClosed(conn *eventloop.Conn) {
 	for request := c.firstRequest; request != nil; request = request.next {
 		c.write(thrift.AppendFailure(c.scratch(), request.seqID, "the client closed its side"))
@@ -171,7 +171,7 @@
 
 // abandon ends a request without a response: its client cancelled it or disconnected.
 func (c *clientConn) abandon(request *clientRequest) {
-	accepted := request.request
+	accepted := request.gatewayRequest
 	request.release()
 	c.transport.gateway.ClientGone(accepted)
 }
@@ -206,18 +206,20 @@
 	if c.closed {
 		return
 	}
-	if c.readCount != readsBefore && !(wasPartial && c.partialMessage) {
+	receivedMore := c.readCount != readsBefore
+	stillPartial := wasPartial && c.partialMessage
+	if receivedMore && !stillPartial {
 		return
 	}
 	switch {
-	case c.partialMessage && c.conn.ReadPauses() != pausesAtStart: // this machine's reads failed: the client is not at fault
+	case c.partialMessage && c.conn.ReadPauses() != pausesAtStart: // reads failed on this machine: the client is not at fault
 		c.resetTimer(true)
 	case c.partialMessage && rules.CheckClose(c.requestCount) != rules.Allowed:
 		c.stalled = true // closed by onRequestReleased after the last response
 	case c.partialMessage:
 		c.transport.countDrop(reasonMessageStalled)
 		c.close(reasonMessageStalled)
-	case !c.hasSpoken:
+	case !c.hasSentMessage:
 		c.transport.countDrop(reasonSilent)
 		c.close(reasonSilent)
 	case c.requestCount == 0:
--- a/internal/platform/client_conn_test.go
+++ b/internal/platform/client_conn_test.go
@@ -109,7 +109,7 @@
 	h.waitFor("the connection is accepted", func() bool { return h.dispatcher.clients.connCount == 2 })
 	h.onLoop(func() {
 		for _, conn := range h.clientConns() {
-			if !conn.hasSpoken {
+			if !conn.hasSentMessage {
 				conn.timerExpired()
 				break
 			}
--- a/internal/platform/client_messages.go
+++ b/internal/platform/client_messages.go
@@ -10,10 +10,10 @@
 const (
 	maxRequestsPerConn  = 32   // requests in flight on one connection: the protocol's limit
 	maxUnusableMessages = 4    // messages that cannot be used until the connection is closed
-	shedRetryAfter      = 0.25 // s of Retry-After for requests shed here: about when capacity is free again
+	shedRetryAfter      = 0.25 // s of Retry-After for requests shed here: capacity is free again by about then
 )
 
-// Received implements eventloop.Handler. It handles the complete messages in data and returns how many bytes they take.
+// Received implements eventloop.Handler. It handles the complete messages in data and returns how many bytes it consumed.
 func (c *clientConn) Received(conn *eventloop.Conn, data []byte) int {
 	used := 0
 	c.readCount++
@@ -45,7 +45,7 @@
 	return used
 }
 
-// receiveFrame handles the first message of data and returns how many bytes it takes, 0 if it is not complete. ok is false
+// receiveFrame handles the first message of data and returns its length in bytes, 0 if it is not complete. ok is false
 // if the stream cannot be read any further; the connection is closed then.
 func (c *clientConn) receiveFrame(data []byte) (n int, ok bool) {
 	payload, n, err := thrift.ReadFrame(data, thrift.MaxFrameBytes)
@@ -64,7 +64,7 @@
 		c.closeAfterFlush(reasonUnreadable)
 		return 0, false
 	}
-	c.hasSpoken = true
+	c.hasSentMessage = true
 	c.partialMessage = false
 	c.stalled = false
 	c.handleMessage(&message)
@@ -83,7 +83,7 @@
 		}
 	case message.Fault != nil:
 		c.rejectMessage(reasonUnusable, message.SeqID, message.Fault.Error())
-	case c.findRequest(message.SeqID) != nil: // the client could take the response of one for the other's
+	case c.findRequest(message.SeqID) != nil: // the client could not match the responses to its requests
 		transport.countDrop(reasonSequenceInUse)
 		c.closeNow(reasonSequenceInUse)
 	case c.requestCount >= maxRequestsPerConn:
@@ -94,7 +94,7 @@
 	}
 }
 
-// rejectMessage answers a message that cannot be used, and closes the connection after several of them.
+// rejectMessage responds to a message that cannot be used, and closes the connection after several of them.
 func (c *clientConn) rejectMessage(reason string, seqID int32, text string) {
 	c.transport.countDrop(reason)
 	c.write(thrift.AppendException(c.scratch(), seqID, text))
@@ -171,7 +171,7 @@
 	return model, true
 }
 
-// shed answers a request for which there is no capacity.
+// shed responds to a request for which there is no capacity.
 func (c *clientConn) shed(reason string, seqID int32) {
 	c.transport.countDrop(reason)
 	c.write(thrift.AppendShed(c.scratch(), seqID, c.transport.retryAfterMillis(shedRetryAfter)))
@@ -195,7 +195,7 @@
 		tenant = -1
 	}
 	receivedAt := c.conn.ReceivedAt()
-	request.request = transport.gateway.AcceptRequest(request, model, tenant, receivedAt, control.Request{
+	request.gatewayRequest = transport.gateway.AcceptRequest(request, model, tenant, receivedAt, control.Request{
 		Group:        control.GroupID(group),
 		MemoryMB:     message.MemoryMB,
 		Concurrency:  message.Concurrency,
@@ -204,5 +204,5 @@
 		Deadline:     receivedAt + message.Timeout,
 		ClientRetry:  message.ClientRetry,
 	})
-	request.request.SetTrace(id)
+	request.gatewayRequest.SetTrace(id)
 }
--- a/internal/platform/client_request.go
+++ b/internal/platform/client_request.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxPooledBody     = 4 << 10 // bytes of body capacity beyond which a record is not pooled
-	maxPooledRequests = 256     // records pooled for the next requests
+	maxPooledBodyBytes = 4 << 10 // bytes of body capacity beyond which a record is not pooled
+	maxPooledRequests  = 256     // records pooled for the next requests
 )
 
 // requestID identifies a request to its client, its worker and its trace: 16 hex digits, chosen by the client.
@@ -20,7 +20,7 @@
 // to its connection from acceptRequest until release, and its slices are reused afterwards.
 type clientRequest struct {
 	conn           *clientConn
-	request        *gateway.Request
+	gatewayRequest *gateway.Request
 	next           *clientRequest // on the same connection
 	seqID          int32          // Thrift sequence id, which the response repeats
 	id             requestID
@@ -64,12 +64,12 @@
 
 // recycle puts a record that is no longer in use into the pool.
 func (t *clientTransport) recycle(request *clientRequest) {
-	if len(t.freeRequests) < maxPooledRequests && cap(request.body) <= maxPooledBody {
+	if len(t.freeRequests) < maxPooledRequests && cap(request.body) <= maxPooledBodyBytes {
 		t.freeRequests = append(t.freeRequests, request)
 	}
 }
 
-// release ends the record of a request that has been answered or whose client does not want an answer.
+// release ends the record of a request that has its response, or whose client cancelled it or disconnected.
 func (r *clientRequest) release() {
 	conn := r.conn
 	transport := conn.transport
@@ -77,7 +77,7 @@
 	delete(transport.inFlight, r.id)
 	transport.bodyBytes -= int64(len(r.body))
 	r.conn = nil
-	r.request = nil
+	r.gatewayRequest = nil
 	transport.recycle(r)
 	conn.onRequestReleased()
 	transport.startDrainTimer()
--- a/internal/platform/client_transport.go
+++ b/internal/platform/client_transport.go
@@ -37,7 +37,7 @@
 
 	draining   bool            // the listener accepts no more connections than those in its backlog
 	drainTimer eventloop.Timer // runs while draining and idle; started anew by each arrival
-	stopping   bool            // shutdown has begun: health checks of clients are answered with false
+	stopping   bool            // shutdown has begun: clients' health checks are answered with false
 	sendsHeld  func() bool     // reports whether nothing may be sent to workers for the moment
 	dropCounts map[string]int  // by reason
 }
@@ -121,7 +121,7 @@
 	return c
 }
 
-// Drain implements gateway.ClientTransport. Everything that clients still send is answered, so connections stay open until
+// Drain implements gateway.ClientTransport. Whatever clients still send gets a response, so connections stay open until
 // nothing has been in flight and nothing has arrived for drainQuietPeriod.
 func (t *clientTransport) Drain() {
 	t.draining = true
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -13,7 +13,8 @@
 // dropLogInterval is how often, in s, the counts of what was dropped are logged if they have changed.
 const dropLogInterval = 5.0
 
-// stopTimes are the platform's: it kills a process that has not ended by then after SIGTERM.
+// stopTimes are the platform's: clients connect for ClientArrivalSpan after SIGTERM, and the process is killed KillDelay
+// after the longest deadline of a request.
 var stopTimes = lifecycle.StopTimes{ClientArrivalSpan: 0.6, MaxServeSpan: 0.75, MaxDeadline: 3, KillDelay: 0.7, KillMargin: 0.15}
 
 // Dispatcher is a dispatcher on the platform. Its methods are to be called on the loop's goroutine.
@@ -26,7 +27,7 @@
 	logger       zerolog.Logger
 	config       *ConfigFile // in force since the start, except for the change log's address
 	maxTimeout   float64     // s, the longest of the model groups'
-	stopBy       float64     // on the loop's clock: when all must be answered, once shutdown has begun
+	answerBy     float64     // on the loop's clock: when all must be answered, once shutdown has begun
 	stopTimer    eventloop.Timer
 	dropLogTimer eventloop.Timer
 	loggedDrops  map[string]int // by reason, as last logged
@@ -55,7 +56,7 @@
 	}
 	dispatcher.watch = newWatchClient(dispatcher.Gateway, file.drainGrace(), dispatcher.clients.countDrop, dispatcher.clients.workers.resumeSends)
 	dispatcher.clients.sendsHeld = func() bool { return dispatcher.watch.sendsHeld }
-	dispatcher.stopTimer.Fire = func() { dispatcher.Gateway.Stop(dispatcher.stopBy - loop.Now()) }
+	dispatcher.stopTimer.Fire = func() { dispatcher.Gateway.Stop(dispatcher.answerBy - loop.Now()) }
 	dispatcher.dropLogTimer.Fire = dispatcher.logDrops
 	loop.Defer(func() { dispatcher.watchChangeLog(file) })
 	loop.Defer(func() { loop.Start(&dispatcher.dropLogTimer, dropLogInterval) })
@@ -116,7 +117,7 @@
 	d.logger.Info().Int("in_flight", d.Gateway.InFlight()).Msg("stop requested")
 	requestedAt := d.Loop.ArrivedAt() // earlier than now if the process was stalled when the signal came
 	plan := lifecycle.PlanStop(stopTimes, d.maxTimeout)
-	d.stopBy = requestedAt + plan.AnswerBy
+	d.answerBy = requestedAt + plan.AnswerBy
 	d.Loop.Start(&d.stopTimer, requestedAt+plan.ServeUntil-d.Loop.Now())
 }
 
--- a/internal/platform/forwarding_test.go
+++ b/internal/platform/forwarding_test.go
@@ -110,8 +110,8 @@
 	h.onLoop(func() {
 		for _, request := range h.dispatcher.clients.inFlight {
 			want := map[int32]int{1: 2, 2: -1}[request.seqID]
-			if request.request.Tenant() != want {
-				t.Errorf("request %d: tenant %d, want %d", request.seqID, request.request.Tenant(), want)
+			if request.gatewayRequest.Tenant() != want {
+				t.Errorf("request %d: tenant %d, want %d", request.seqID, request.gatewayRequest.Tenant(), want)
 			}
 		}
 	})
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -1,11 +1,11 @@
 package platform
 
-// The split of the platform's limits: descriptors among clients and workers, memory among what requests and models take.
+// The split of the platform's limits: descriptors among clients and workers, memory among requests and models.
 const (
 	reservedDescriptors     = 24 // for the listener, the change log, logs, the loop and the runtime
 	reservedForWorkers      = 8  // of the reserve: first connections to workers may use them
 	reservedForClients      = 3  // of the reserve: client connections that linger for their last response may use them
-	clientDescriptorDivisor = 2  // clients get 1/2 of the descriptors: one in three is the platform's promise
+	clientDescriptorDivisor = 2  // clients may use half of the descriptors; the platform promises them a third
 
 	heapLimitFraction     = 0.55 // of the memory limit, beyond which Go collects all the time; the rest is outside the heap
 	bodyMemoryFraction    = 0.25 // of the memory limit, for request bodies in flight
@@ -13,8 +13,8 @@
 	modelMemoryFraction   = 0.1  // of the memory limit, for models
 
 	bytesPerMB      = 1 << 20
-	bytesPerRequest = 6 << 10 // that a request in flight takes beside its body
-	bytesPerModel   = 1 << 10 // that a model in use takes, here and in the decisions
+	bytesPerRequest = 6 << 10 // of a request in flight, without its body
+	bytesPerModel   = 1 << 10 // of a model in use, here and in the decisions
 )
 
 // memoryBytes returns a fraction of the memory limit in bytes.
@@ -27,7 +27,7 @@
 	return int(f.memoryBytes(modelMemoryFraction) / bytesPerModel)
 }
 
-// maxRequestsByMemory returns for how many requests in flight there is memory.
+// maxRequestsByMemory returns how many requests in flight the memory suffices for.
 func (f *ConfigFile) maxRequestsByMemory() int {
 	return int(f.memoryBytes(requestMemoryFraction) / bytesPerRequest)
 }
--- a/internal/platform/poll_backoff.go
+++ b/internal/platform/poll_backoff.go
@@ -19,12 +19,12 @@
 }
 
 // nextResponseSlack returns how long the next response may take beyond the wait that its poll asks for. It is doubled after
-// a timeout, so that a slow change log gets through in the end; after a response it is twice what that took beyond.
-func nextResponseSlack(slack float64, timedOut bool, beyond float64) float64 {
+// a timeout, so that a slow change log gets through in the end; after a response it is twice the time by which that one exceeded its wait.
+func nextResponseSlack(slack float64, timedOut bool, exceededBy float64) float64 {
 	if timedOut {
 		return math.Min(maxResponseSlack, 2*slack)
 	}
-	return math.Min(maxResponseSlack, math.Max(minResponseSlack, 2*beyond))
+	return math.Min(maxResponseSlack, math.Max(minResponseSlack, 2*exceededBy))
 }
 
 // pollDelay returns how long to wait until the next poll. random, from 0 to 1, draws it from the upper half of the backoff:
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -19,29 +19,25 @@
 )
 
 const (
-	configPathVariable    = "LB_CONFIG" // environment variable with the path of the configuration file
-	listenRetryFor        = 20.0        // s for which a start is retried while the previous process holds the address or the machine lacks a resource
-	maxListenRetryGap     = 0.02        // s between these attempts at most: clients connect as soon as the previous process has ended
-	transientReadRetryFor = 8.0         // s for which a start waits for a configuration that cannot be read now: it must be ready within 10
-	invalidReadRetryFor   = 1.0         // s for which a start waits for a configuration that is invalid: it may be half written
-	reloadRetryFor        = 10.0        // s for which a reload that failed is retried: the file may be half written
-	gcPercent             = 50          // below Go's default: the heap's limit is near
+	configPathVariable     = "LB_CONFIG" // environment variable with the path of the configuration file
+	listenRetrySpan        = 20.0        // s for which a start is retried while the previous process holds the address or the machine lacks a resource
+	maxListenRetryDelay    = 0.02        // s between these retries at most: clients connect as soon as the previous process has ended
+	transientReadRetrySpan = 8.0         // s for which a start waits for a configuration that cannot be read now: it must be ready within 10
+	invalidReadRetrySpan   = 1.0         // s for which a start waits for a configuration that is invalid: it may be half written
+	gcPercent              = 50          // below Go's default: the heap's limit is near
 )
 
 const reloadFailedMessage = "configuration not reloaded; previous configuration stays in force"
 
-// errStopRequested reports that a stop signal came before the start was complete.
-var errStopRequested = errors.New("stop requested")
-
-// Run runs a dispatcher by the platform's environment until a stop signal, and returns the process's exit code. Logs and
-// the reason of a start that failed are written to out.
+// Run runs a dispatcher with the configuration that LB_CONFIG names until a stop signal, and returns the process's exit
+// code. Logs and the reason of a start that failed are written to out.
 func Run(out io.Writer) int {
-	signals := lifecycle.NewSignals() // first of all: an earlier signal ends the process
+	signals := lifecycle.NewSignals() // first of all: a signal that comes before Notify ends the process
 	signals.Notify()
 	defer signals.Close()
 	path := os.Getenv(configPathVariable)
 	file, err := readConfigWithRetry(path, signals)
-	if errors.Is(err, errStopRequested) {
+	if errors.Is(err, lifecycle.ErrStopRequested) {
 		return app.ExitOK
 	}
 	if err != nil {
@@ -52,7 +48,7 @@
 	log, flush := app.Logger(config.Log{Level: "info", Format: "json"}, out)
 	defer flush()
 	dispatcher, err := newWithRetry(file, path, log, signals)
-	if errors.Is(err, errStopRequested) {
+	if errors.Is(err, lifecycle.ErrStopRequested) {
 		log.Info().Msg("stop requested before start")
 		return app.ExitOK
 	}
@@ -69,7 +65,7 @@
 func limitRuntime(file *ConfigFile) {
 	debug.SetMemoryLimit(int64(file.memoryBytes(heapLimitFraction)))
 	debug.SetGCPercent(gcPercent)
-	runtime.GOMAXPROCS(1)
+	runtime.GOMAXPROCS(1) // only the loop's goroutine is busy
 }
 
 func logServing(log zerolog.Logger, file *ConfigFile) {
@@ -83,10 +79,10 @@
 }
 
 // readConfigWithRetry reads the configuration for a start. It retries while the file is half written or cannot be read for
-// a moment, and returns errStopRequested after a stop signal.
+// a moment, and returns lifecycle.ErrStopRequested after a stop signal.
 func readConfigWithRetry(path string, signals *lifecycle.Signals) (*ConfigFile, error) {
-	transient := lifecycle.NewRetry(time.Now(), transientReadRetryFor)
-	invalid := lifecycle.NewRetry(time.Now(), invalidReadRetryFor)
+	transient := lifecycle.NewRetry(time.Now(), transientReadRetrySpan)
+	invalid := lifecycle.NewRetry(time.Now(), invalidReadRetrySpan)
 	for {
 		file, err := ReadConfigFile(path)
 		if err == nil || path == "" {
@@ -96,30 +92,30 @@
 		if lifecycle.IsTransient(err) {
 			retry = &transient
 		}
-		switch signals.Await(retry, transientReadRetryFor, nil) {
+		switch signals.Await(retry, lifecycle.WholeDelay, nil) {
 		case lifecycle.RetriesExhausted:
 			return nil, err
 		case lifecycle.StopRequested:
-			return nil, errStopRequested
+			return nil, lifecycle.ErrStopRequested
 		}
 	}
 }
 
 // newWithRetry makes a dispatcher. It retries while another process holds the address, usually the previous one that is
 // about to end, or while the machine lacks a resource. A reload signal meanwhile reads the configuration again; after a
-// stop signal it returns errStopRequested.
+// stop signal it returns lifecycle.ErrStopRequested.
 func newWithRetry(file *ConfigFile, path string, log zerolog.Logger, signals *lifecycle.Signals) (*Dispatcher, error) {
-	retry := lifecycle.NewRetry(time.Now(), listenRetryFor)
+	retry := lifecycle.NewRetry(time.Now(), listenRetrySpan)
 	for {
 		dispatcher, err := New(file, log)
 		if err == nil || !isRetriableStart(err) {
 			return dispatcher, err
 		}
-		switch signals.Await(&retry, maxListenRetryGap, signals.Reload) {
+		switch signals.Await(&retry, maxListenRetryDelay, signals.Reload) {
 		case lifecycle.RetriesExhausted:
 			return nil, err
 		case lifecycle.StopRequested:
-			return nil, errStopRequested
+			return nil, lifecycle.ErrStopRequested
 		case lifecycle.ReloadRequested:
 			reloaded, err := ReadConfigFile(path)
 			if err != nil {
@@ -138,7 +134,10 @@
 
 // handleSignals handles signals until the loop has ended, and returns the exit code.
 func (d *Dispatcher) handleSignals(path string, signals *lifecycle.Signals) int {
-	r := reloader{dispatcher: d, path: path}
+	reload := lifecycle.Reloader{
+		Reload:     func() error { return d.reloadFrom(path) },
+		LogFailure: func(err error) { d.logger.Error().Err(err).Msg(reloadFailedMessage) },
+	}
 	for {
 		select {
 		case err := <-d.loopDone:
@@ -148,9 +147,9 @@
 		case <-signals.Dump:
 			d.Loop.Post(func() { d.Gateway.DumpFlightRecorder("signal") })
 		case <-signals.Reload:
-			r.start()
-		case <-r.retryTimer:
-			r.reload()
+			reload.Start()
+		case <-reload.RetryDue:
+			reload.Retry()
 		}
 	}
 }
@@ -163,37 +162,12 @@
 	return app.ExitOK
 }
 
-// reloader reads the configuration again after a reload signal, and retries while it cannot be read.
-type reloader struct {
-	dispatcher    *Dispatcher
-	path          string
-	retry         lifecycle.Retry
-	retryTimer    <-chan time.Time // nil while no retry is due
-	loggedFailure string           // the last failure, which is not logged again for each retry
-}
-
-// start begins a reload.
-func (r *reloader) start() {
-	r.retry = lifecycle.NewRetry(time.Now(), reloadRetryFor)
-	r.reload()
-}
-
-// reload reads the configuration and passes it to the dispatcher's loop, or schedules a retry.
-func (r *reloader) reload() {
-	r.retryTimer = nil
-	file, err := ReadConfigFile(r.path)
-	if err == nil {
-		r.loggedFailure = ""
-		r.dispatcher.Loop.Post(func() { r.dispatcher.Reload(file) })
-		return
-	}
-	failure := err.Error()
-	if failure != r.loggedFailure {
-		r.loggedFailure = failure
-		r.dispatcher.logger.Error().Err(err).Msg(reloadFailedMessage)
-	}
-	wait, ok := r.retry.Next(time.Now())
-	if ok {
-		r.retryTimer = time.After(wait)
+// reloadFrom reads the configuration at path and posts it to the loop.
+func (d *Dispatcher) reloadFrom(path string) error {
+	file, err := ReadConfigFile(path)
+	if err != nil {
+		return err
 	}
+	d.Loop.Post(func() { d.Reload(file) })
+	return nil
 }
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -33,7 +33,7 @@
 	signals := lifecycle.NewSignals()
 	signals.Reload <- syscall.SIGHUP
 	signals.Stop <- syscall.SIGTERM
-	if dispatcher, err := newWithRetry(file, "", zerolog.Nop(), signals); dispatcher != nil || !errors.Is(err, errStopRequested) {
+	if dispatcher, err := newWithRetry(file, "", zerolog.Nop(), signals); dispatcher != nil || !errors.Is(err, lifecycle.ErrStopRequested) {
 		t.Errorf("after a stop signal: %v %v", dispatcher, err)
 	}
 	before := countDescriptors()
@@ -94,7 +94,7 @@
 	os.WriteFile(path, []byte("{"), 0o600) // an invalid configuration does not replace the previous one
 	signals.Reload <- syscall.SIGHUP
 	signals.Stop <- syscall.SIGTERM
-	if dispatcher, err := newWithRetry(file, path, zerolog.Nop(), signals); dispatcher != nil || !errors.Is(err, errStopRequested) {
+	if dispatcher, err := newWithRetry(file, path, zerolog.Nop(), signals); dispatcher != nil || !errors.Is(err, lifecycle.ErrStopRequested) {
 		t.Errorf("after a stop signal: %v %v", dispatcher, err)
 	}
 }
--- a/internal/platform/send_queue.go
+++ b/internal/platform/send_queue.go
@@ -16,11 +16,11 @@
 	transport   *workerTransport
 	conn        *workerConn // nil unless in flight
 	queued      bool
-	tag         [24]byte // by which the worker's response names the call: the request's id, or one made from a number
+	tag         [24]byte // identifies the call in the worker's response: the request's id, or one made from a number
 	tagLen      int
 	rewrites    int     // how often it was written again because its deadline was out of date
 	startOffset uint64  // of its bytes in all that was written to the connection
-	endOffset   uint64  // of the byte behind them
+	endOffset   uint64  // of the first byte after them
 	writtenAt   float64 // when it was written to the connection; its deadline was computed then
 }
 
@@ -90,7 +90,8 @@
 	conn.writeCall(call)
 }
 
-// rewriteOrFail handles a call whose bytes were taken back because the rules no longer allow them to be sent. One whose
+// rewriteOrFail handles a call whose bytes were removed from the connection because the rules no longer allow them to be
+// sent. One whose
 // deadline is out of date is written again with a new one.
 func (t *workerTransport) rewriteOrFail(call *workerCall, reason rules.Reason) {
 	if reason == rules.StaleDeadline {
@@ -141,7 +142,7 @@
 	}
 }
 
-// cancelInFlight takes the call off its connection. The worker is notified of a cancelled attempt that was sent
+// cancelInFlight removes the call from its connection. The worker is notified of a cancelled attempt that was sent
 // completely. The connection is closed if part of the call was sent: the worker does not read, and the rest may not follow.
 func (c *workerCall) cancelInFlight() {
 	conn := c.conn
--- a/internal/platform/unsent_attempt_test.go
+++ b/internal/platform/unsent_attempt_test.go
@@ -61,7 +61,7 @@
 			request.conn.abandon(request)
 		},
 		"the decisions fail": func(h *harness, request *clientRequest, _ *fakeWorker) {
-			h.dispatcher.Gateway.Fail(request.request.ID())
+			h.dispatcher.Gateway.Fail(request.gatewayRequest.ID())
 		},
 		"the worker drains": func(h *harness, _ *clientRequest, worker *fakeWorker) {
 			h.respondToPoll(`{"seq":2,"results":[{"seq":2,"fleet":{"members":[` + worker.memberJSON("leaving", 0) + `]}}]}`)
--- a/internal/platform/watch_client.go
+++ b/internal/platform/watch_client.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	longPollWait    = 1.0      // s that a poll asks the change log to wait: silence is noticed that much later
-	maxPollBytes    = 4 << 20  // bytes of a response's body
-	maxPooledPoll   = 64 << 10 // bytes of body capacity beyond which the buffer is not kept for the next poll
-	maxSendHold     = 0.2      // s that sends wait for the change log after a stall: it may be down
-	minStall        = 0.12     // s of a stall of the process after which the change log may be polled first
-	stallToGraceMax = 0.5      // of the drain grace: a longer stall may have hidden an event that is in force by now
+	longPollWait       = 1.0      // s that a poll asks the change log to wait: a change log that is down is noticed that much later
+	maxPollBytes       = 4 << 20  // bytes of a response's body
+	maxKeptPollBytes   = 64 << 10 // bytes of body capacity beyond which the buffer is not kept for the next poll
+	maxSendHold        = 0.2      // s that sends wait for the change log after a stall: it may be down
+	minStall           = 0.12     // s of a stall of the process after which the change log may be polled first
+	stallGraceFraction = 0.5      // of the drain grace: a longer stall may have hidden an event that is in force by now
 )
 
 var errUnusableResponse = errors.New("change log response is too long or has a status other than 200")
@@ -93,7 +93,7 @@
 // onStall polls the change log at once after a stall of the process during which an event may have come into force.
 // Until the response, or for maxSendHold, nothing is sent to workers: the worker list may be out of date.
 func (w *watchClient) onStall(duration float64) {
-	if w.pool == nil || duration <= math.Max(w.drainGrace*stallToGraceMax, minStall) {
+	if w.pool == nil || duration <= math.Max(w.drainGrace*stallGraceFraction, minStall) {
 		return
 	}
 	w.gateway.RecordEvent("asks_change_log_first", "standstill", nil, nil, duration)
@@ -170,7 +170,7 @@
 	if err == nil {
 		err = w.handleResponse()
 	}
-	if cap(w.body) > maxPooledPoll {
+	if cap(w.body) > maxKeptPollBytes {
 		w.body = nil
 	}
 	if err == nil {
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	partialResponseTimeout = 0.3      // s a response may take to arrive completely: workers send one with one write
+	partialResponseTimeout = 0.3      // s from the first byte of a response to its last: workers send one with one write
 	maxUnsentBytes         = 64 << 10 // bytes that may wait on a connection; calls beyond use another or stay queued
 )
 
@@ -34,7 +34,7 @@
 	return c.established && len(c.inFlight) < c.transport.pool.maxStreams && c.conn.UnsentBytes() < maxUnsentBytes
 }
 
-// removeCall takes a call out of those in flight, and keeps the order of the others.
+// removeCall removes a call from those in flight, and keeps the order of the others.
 func (c *workerConn) removeCall(call *workerCall) {
 	for i, other := range c.inFlight {
 		if other == call {
@@ -64,8 +64,8 @@
 	c.close(control.ConnectionReset, closeReason(err))
 }
 
-// close closes the connection and finishes its calls. One that was passed to the kernel completely may have run and ends
-// with the result; any other has not run.
+// close closes the connection and finishes its calls. A call that was passed to the kernel completely may have run and
+// ends with the result; any other has not run, and ends as if the connection had never been established.
 func (c *workerConn) close(result control.Result, reason string) {
 	if c.closed {
 		return
@@ -113,7 +113,7 @@
 // timerExpired closes the connection after its timeout.
 func (c *workerConn) timerExpired() {
 	switch {
-	case c.partialResponse && c.conn.ReadPauses() != c.pausesAtStart: // this machine's reads failed: the worker is not at fault
+	case c.partialResponse && c.conn.ReadPauses() != c.pausesAtStart: // reads failed on this machine: the worker is not at fault
 		c.resetTimer()
 	case c.partialResponse:
 		c.transport.pool.clients.countDrop(reasonResponseStalled)
@@ -123,7 +123,7 @@
 	}
 }
 
-// Received implements eventloop.Handler. It handles the complete responses in data and returns how many bytes they take.
+// Received implements eventloop.Handler. It handles the complete responses in data and returns how many bytes it consumed.
 func (c *workerConn) Received(_ *eventloop.Conn, data []byte) int {
 	used := 0
 	pool := c.transport.pool
@@ -150,9 +150,9 @@
 	return used
 }
 
-// handleResponse finishes the call that a response answers. A response to no call in flight is dropped.
+// handleResponse finishes the call that a response belongs to. A response to no call in flight is dropped.
 func (c *workerConn) handleResponse(response *workerproto.Response) {
-	call := c.takeCall(response.ID)
+	call := c.removeCallByTag(response.ID)
 	if call == nil {
 		c.transport.pool.clients.countDrop(reasonUnexpectedResponse)
 		return
@@ -176,8 +176,8 @@
 	call.finish(response.Result)
 }
 
-// takeCall removes the call with a tag from those in flight and returns it, nil if there is none.
-func (c *workerConn) takeCall(tag []byte) *workerCall {
+// removeCallByTag removes the call with a tag from those in flight and returns it, nil if there is none.
+func (c *workerConn) removeCallByTag(tag []byte) *workerCall {
 	for i, call := range c.inFlight {
 		if string(call.tag[:call.tagLen]) != string(tag) {
 			continue
--- a/internal/platform/worker_send.go
+++ b/internal/platform/worker_send.go
@@ -67,10 +67,10 @@
 	for i := len(c.inFlight) - 1; i >= 0; i-- {
 		call := c.inFlight[i]
 		switch {
-		case call.endOffset <= sent:
+		case call.endOffset <= sent: // sent completely
 		case call.attempt == nil:
 			c.recheckControlCall(call, now, sent)
-		case call.startOffset >= sent:
+		case call.startOffset >= sent: // not begun
 			c.recheckAttempt(call, now)
 		case rules.CheckRemainder(now, call.writtenAt) != rules.Allowed: // its deadline was sent and cannot be changed
 			c.close(control.ConnectionReset, reasonPartlySentDeadline)
@@ -92,7 +92,7 @@
 	}
 }
 
-// recheckAttempt takes an unsent attempt back if the rules no longer allow it.
+// recheckAttempt removes an unsent attempt from the connection if the rules no longer allow it.
 func (c *workerConn) recheckAttempt(call *workerCall, now float64) {
 	reason := call.attempt.CheckFirstByte(now, call.writtenAt, call.rewrites)
 	if reason == rules.Allowed {
@@ -105,7 +105,7 @@
 	}
 }
 
-// retract takes the bytes of a call back out of the connection's buffer. It reports whether that was possible, that is,
+// retract removes the bytes of a call from the connection's buffer. It reports whether that was possible, that is,
 // whether none of them had been sent.
 func (c *workerConn) retract(call *workerCall) bool {
 	if !c.conn.Unwrite(call.startOffset, call.endOffset) {
--- a/internal/platform/worker_transport.go
+++ b/internal/platform/worker_transport.go
@@ -70,7 +70,7 @@
 	return 0
 }
 
-// FullySent implements gateway.WorkerTransport.
+// FullySent implements gateway.WorkerTransport. An attempt counts from its first byte, since the rest may follow by itself.
 func (t *workerTransport) FullySent(attempt *gateway.Attempt) bool {
 	return callOf(attempt.TransportState).anySent()
 }
@@ -223,7 +223,7 @@
 	}
 }
 
-// removeConn takes a closed connection out of the transport and the pool.
+// removeConn removes a closed connection from the transport and the pool.
 func (t *workerTransport) removeConn(conn *workerConn) {
 	conn.closed = true
 	t.pool.loop.Cancel(&conn.timer)
