--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,7 +6,9 @@
 	"strings"
 )
 
-// Check reports every problem of the settings to source, where they stand at path, such as "$" or $.settings.
+const maxSizeSetting = 1 << 40 // bytes: beyond any machine's memory, so a larger one is a mistake
+
+// Check reports every problem of the settings to source, in which their YAML path is path, such as "$" or $.settings.
 func (c *Config) Check(source *Source, path string) {
 	check := &checker{source: source, root: path}
 	check.process(c)
@@ -22,7 +24,7 @@
 	check.limits(&c.Limits)
 }
 
-// checker reports the problems of settings that stand at root in source. The paths of its methods are relative to root,
+// checker reports the problems of the settings at root, a YAML path in source. The paths of its methods are relative to root,
 // such as groups[0].slo.
 type checker struct {
 	source *Source
@@ -51,7 +53,7 @@
 }
 
 func (c *checker) size(path string, value Size, low float64) {
-	c.between(path, float64(value.Bytes), low, 1<<40, "B")
+	c.between(path, float64(value.Bytes), low, maxSizeSetting, "B")
 }
 
 // unique checks that the value of entry i of a list is not empty and differs from those of the entries before, which seen
--- a/internal/config/check_policy.go
+++ b/internal/config/check_policy.go
@@ -26,10 +26,13 @@
 
 // loadBudget checks that the budget of load calls has a window and allows some.
 func (c *checker) loadBudget(loads *Loads) {
+	hasWindow := loads.Window.Seconds > 0
+	noneAllowed := loads.Few < 1 && loads.Share <= 0
+	hasBudget := loads.Few > 0 || loads.Share > 0
 	switch {
-	case loads.Window.Seconds > 0 && loads.Few < 1 && loads.Share <= 0:
+	case hasWindow && noneAllowed:
 		c.report("loads.few", "a window without few or share forbids every load order: write few: 5 or share: 0.1, or no window")
-	case loads.Window.Seconds == 0 && (loads.Few > 0 || loads.Share > 0):
+	case loads.Window.Seconds == 0 && hasBudget:
 		c.report("loads.window", "few and share count within a window: write one, such as 10s")
 	}
 }
--- a/internal/config/check_process.go
+++ b/internal/config/check_process.go
@@ -27,16 +27,20 @@
 
 // isPlainName reports whether the name can be part of a request id.
 func isPlainName(name string) bool {
-	for _, r := range name {
-		isLetter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
-		isDigit := r >= '0' && r <= '9'
-		if !isLetter && !isDigit && r != '.' && r != '-' && r != '_' {
+	for _, char := range name {
+		if !isPlain(char) {
 			return false
 		}
 	}
 	return name != ""
 }
 
+func isPlain(char rune) bool {
+	isLetter := char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z'
+	isDigit := char >= '0' && char <= '9'
+	return isLetter || isDigit || char == '.' || char == '-' || char == '_'
+}
+
 func (c *checker) log(log *Log) {
 	c.oneOf("log.level", log.Level, "debug", "info", "warn", "error")
 	c.oneOf("log.format", log.Format, "json", "text")
--- a/internal/config/check_traffic.go
+++ b/internal/config/check_traffic.go
@@ -16,13 +16,13 @@
 		c.report("groups", "there is none: write at least one model group, with name, effect, slo and timeout")
 	}
 	c.between("groups", float64(len(groups)), 0, maxGroups, "")
-	names := map[string]int{}
+	indexByName := map[string]int{}
 	for i := range groups {
 		prefix := fmt.Sprintf("groups[%d]", i)
-		c.unique(prefix+".name", groups[i].Name, names, i)
+		c.unique(prefix+".name", groups[i].Name, indexByName, i)
 		c.group(prefix, &groups[i])
 	}
-	return names
+	return indexByName
 }
 
 func (c *checker) group(prefix string, group *Group) {
@@ -54,21 +54,21 @@
 }
 
 func (c *checker) tenants(tenants []Tenant) {
-	names := map[string]int{}
+	indexByName := map[string]int{}
 	for i, tenant := range tenants {
 		prefix := fmt.Sprintf("tenants[%d]", i)
-		c.unique(prefix+".name", tenant.Name, names, i)
+		c.unique(prefix+".name", tenant.Name, indexByName, i)
 		c.between(prefix+".quota", tenant.Quota, 0, 1e9, "")
 	}
 }
 
-// models checks the models; groups has the names of the model groups.
+// models checks the models; groups has the indexes of the model groups by name.
 func (c *checker) models(models []Model, groups map[string]int) {
-	names := map[string]int{}
+	indexByName := map[string]int{}
 	nameByID := map[control.ModelID]string{}
 	for i, model := range models {
 		prefix := fmt.Sprintf("models[%d]", i)
-		c.unique(prefix+".name", model.Name, names, i)
+		c.unique(prefix+".name", model.Name, indexByName, i)
 		if _, err := path.Match(model.Name, ""); err != nil {
 			c.report(prefix+".name", "%q is no pattern: * stands for any run, ? for one character, [a-z] for a range", model.Name)
 		}
--- a/internal/config/check_workers.go
+++ b/internal/config/check_workers.go
@@ -24,14 +24,14 @@
 	if len(workers) > maxWorkers {
 		c.report("workers", "%d are too many: %d at most", len(workers), maxWorkers)
 	}
-	names := map[string]int{}
-	addresses := map[string]int{}
+	indexByName := map[string]int{}
+	indexByAddress := map[string]int{}
 	nameByID := map[control.WorkerID]string{}
 	for i, worker := range workers {
 		prefix := fmt.Sprintf("workers[%d]", i)
-		c.unique(prefix+".name", worker.Name, names, i)
+		c.unique(prefix+".name", worker.Name, indexByName, i)
 		if isAddress(worker.Address) {
-			c.unique(prefix+".address", worker.Address, addresses, i)
+			c.unique(prefix+".address", worker.Address, indexByAddress, i)
 		} else {
 			c.report(prefix+".address", "%q is no address: write IP:PORT, such as 127.0.0.1:9001", worker.Address)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -142,7 +142,7 @@
 
 // Settings returns the settings that the decisions read.
 func (c *Config) Settings() control.Settings {
-	s := control.Settings{
+	settings := control.Settings{
 		Tick:        control.Some(c.Tick.Seconds),
 		Dispatchers: float64(c.Dispatchers),
 		Discovery: control.DiscoverySettings{
@@ -171,14 +171,14 @@
 		},
 		LoadReportFields: slices.Clone(c.Report),
 	}
-	for _, g := range c.Groups {
-		s.Groups = append(s.Groups, control.GroupSettings{
-			Effect:     control.ParseEffect(g.Effect),
-			Scope:      control.ParseDedupScope(g.Scope),
-			Window:     g.Window.Seconds,
-			SLO:        control.Some(g.SLO.Seconds),
-			SLOStretch: g.Stretch,
-			Timeout:    control.Some(g.Timeout.Seconds),
+	for _, group := range c.Groups {
+		settings.Groups = append(settings.Groups, control.GroupSettings{
+			Effect:     control.ParseEffect(group.Effect),
+			Scope:      control.ParseDedupScope(group.Scope),
+			Window:     group.Window.Seconds,
+			SLO:        control.Some(group.SLO.Seconds),
+			SLOStretch: group.Stretch,
+			Timeout:    control.Some(group.Timeout.Seconds),
 		})
 	}
 	for _, t := range c.Tenants {
@@ -186,9 +186,9 @@
 		if t.Quota > 0 {
 			tenant.Quota = control.Some(t.Quota)
 		}
-		s.Tenants = append(s.Tenants, tenant)
+		settings.Tenants = append(settings.Tenants, tenant)
 	}
-	return s
+	return settings
 }
 
 // RestartRequired returns the settings that differ in next and take effect only after a restart.
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -1,6 +1,6 @@
 package config
 
-// Default returns the settings that hold where nothing is written: they suit one machine.
+// Default returns the settings that apply where a file has none. They suit a single machine.
 func Default() Config {
 	return Config{
 		Name: "d0", Listen: "127.0.0.1:8080", Admin: "127.0.0.1:8081",
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -18,11 +18,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := source.err(); err != nil { // a quantity that cannot be parsed would fail the checks too
+	err = source.err()
+	if err != nil { // a quantity that cannot be parsed would fail the checks too
 		return nil, err
 	}
 	cfg.Check(source, "$")
-	if err := source.err(); err != nil {
+	err = source.err()
+	if err != nil {
 		return nil, err
 	}
 	return &cfg, nil
@@ -49,7 +51,8 @@
 	}
 	check := &checker{source: source, root: "$"}
 	check.workers(content.Workers)
-	if err := source.err(); err != nil {
+	err = source.err()
+	if err != nil {
 		return nil, err
 	}
 	return content.Workers, nil
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -53,7 +53,7 @@
 	s.problems = append(s.problems, problem)
 }
 
-// position returns where the node at path, or its nearest written ancestor, stands; zeros if there is none.
+// position returns the line and column of the node at path or of its nearest written ancestor, zeros if there is none.
 func (s *Source) position(path string) (line, column int) {
 	if s.root == nil {
 		return 0, 0
@@ -97,7 +97,7 @@
 	return s.problems
 }
 
-// decodeProblems returns the parser's or decoder's error with its position, in words for operators.
+// decodeProblems returns the parser's or decoder's error with its position, reworded for operators.
 func (s *Source) decodeProblems(err error) Problems {
 	problem := Problem{File: s.file, Text: err.Error()}
 	var yamlErr yaml.Error
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -13,7 +13,7 @@
 	factor float64
 }
 
-// Where one suffix ends with another, the longer stands first.
+// Where one suffix ends with another, the longer one comes first.
 var (
 	durationUnits = []unit{{"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}}
 	sizeUnits     = []unit{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"kB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1}}
@@ -51,11 +51,12 @@
 
 func (d *Duration) parse() error {
 	number, factor, found := cutUnit(d.text, durationUnits)
-	v, err := strconv.ParseFloat(number, 64)
-	if !found || err != nil || !(v >= 0) || math.IsInf(v, 0) {
+	value, err := strconv.ParseFloat(number, 64)
+	inRange := value >= 0 && !math.IsInf(value, 0) // false for NaN
+	if !found || err != nil || !inRange {
 		return fmt.Errorf("%q is not a span: write a number and its unit (us, ms, s, m, h), such as 250ms or 1.5s", d.text)
 	}
-	*d = S(v * factor)
+	*d = S(value * factor)
 	return nil
 }
 
@@ -79,10 +80,11 @@
 
 func (s *Size) parse() error {
 	number, factor, found := cutUnit(s.text, sizeUnits)
-	v, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
-	if !found || err != nil || !(v >= 0 && v*factor < maxSize) {
+	value, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
+	inRange := value >= 0 && value*factor < maxSize // false for NaN
+	if !found || err != nil || !inRange {
 		return fmt.Errorf("%q is not a size: write a number and its unit (B, kB, MB, GB, KiB, MiB, GiB), such as 300MB", s.text)
 	}
-	*s = B(int64(v * factor))
+	*s = B(int64(value * factor))
 	return nil
 }
--- a/internal/eventloop/arrival.go
+++ b/internal/eventloop/arrival.go
@@ -77,7 +77,8 @@
 // arrivedAfter returns a time before which nothing arrived of what is read from the connection now.
 func (c *Conn) arrivedAfter() float64 {
 	pollsSince := c.loop.polls.count - c.unreadPoll
-	if c.hasUnread && pollsSince <= 1 || c.isUnwatched() {
+	markApplies := c.hasUnread && pollsSince <= 1
+	if markApplies || c.isUnwatched() {
 		return c.unreadAfter
 	}
 	return c.loop.polls.previousUntil
--- a/internal/eventloop/buffers.go
+++ b/internal/eventloop/buffers.go
@@ -2,8 +2,8 @@
 
 package eventloop
 
-// takeBuffer returns an empty buffer that the caller may grow and gives back by recycleBuffer.
-func (l *Loop) takeBuffer() []byte {
+// acquireBuffer returns an empty buffer, which the caller may grow and returns by recycleBuffer.
+func (l *Loop) acquireBuffer() []byte {
 	if n := len(l.freeBuffers); n > 0 {
 		b := l.freeBuffers[n-1]
 		l.freeBuffers = l.freeBuffers[:n-1]
--- a/internal/eventloop/conn_read.go
+++ b/internal/eventloop/conn_read.go
@@ -53,7 +53,7 @@
 func (c *Conn) ReadNow() {
 	after := c.arrivedAfter()
 	total := 0
-	for total < maxCatchUpReads*readBufferBytes && c.fd >= 0 && c.established && !c.paused && !c.lingering {
+	for total < maxCatchUpReads*readBufferBytes && c.deliversReads() {
 		n, more := c.readOnce(after)
 		total += n
 		if !more {
@@ -65,6 +65,11 @@
 	}
 }
 
+// deliversReads reports whether what is read from the connection is passed to the handler at present.
+func (c *Conn) deliversReads() bool {
+	return c.fd >= 0 && c.established && !c.paused && !c.lingering
+}
+
 // handleReadable reads after a poll has reported the connection as readable, closed or failed.
 func (c *Conn) handleReadable(events uint32) {
 	const closeEvents = unix.EPOLLERR | unix.EPOLLHUP | unix.EPOLLRDHUP
@@ -169,7 +174,7 @@
 			c.unconsumed = c.unconsumed[:copy(c.unconsumed, rest)]
 		}
 	default:
-		c.unconsumed = append(c.loop.takeBuffer(), rest...)
+		c.unconsumed = append(c.loop.acquireBuffer(), rest...)
 	}
 }
 
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if c.outgoing == nil {
-		c.outgoing = c.loop.takeBuffer()
+		c.outgoing = c.loop.acquireBuffer()
 	}
 	c.outgoing = append(c.outgoing, b...)
 	c.scheduleWrite()
@@ -104,7 +104,7 @@
 	return true
 }
 
-// finishFlush follows a write of all that was queued.
+// finishFlush continues after the kernel has accepted all that was queued: the end of a closed connection, and Flushed.
 func (c *Conn) finishFlush() {
 	c.loop.recycleBuffer(c.outgoing)
 	c.outgoing = nil
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -54,7 +54,7 @@
 	l.Defer(func() { c.fail(fmt.Errorf("connect %s: %w", c.peer, err)) })
 }
 
-// onConnectTimer retries an attempt that failed locally, or ends one that has timed out.
+// onConnectTimer dials again after a local failure, or ends a connection that was not established in time.
 func (c *Conn) onConnectTimer() {
 	if c.fd < 0 {
 		c.tryDial()
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -12,7 +12,7 @@
 var ErrConnectTimeout = errors.New("connect timed out")
 
 // LocalError ends a dialled connection that could not be attempted for lack of local resources, such as descriptors or
-// ports. It says nothing about the peer, and nothing was written.
+// ports. It is no evidence about the peer, and nothing was written.
 type LocalError struct{ Err error }
 
 // Error implements error.
@@ -30,8 +30,8 @@
 	return false
 }
 
-// isRetryable reports whether a failed connect is worth another attempt: local errors, and a network that is down, which
-// may be so for all peers.
+// isRetryable reports whether a failed connect may succeed when tried again: after local errors, and while the network is
+// down, which is likely to concern all peers.
 func isRetryable(err error) bool {
 	return isLocalError(err) || err == unix.ENETUNREACH || err == unix.ENETDOWN
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -13,10 +13,10 @@
 // Listener accepts connections. It never closes a connection that waits in the kernel's queue: while none can be
 // accepted they stay there, and Drain accepts them all before it closes the socket.
 type Listener struct {
-	// Called before each connection is accepted, to report whether there is capacity for one more; if not, connections stay
-	// in the kernel's queue. makeRoom asks the owner to free capacity, as a connection is known to be waiting. It may be
-	// nil.
-	Room func(makeRoom bool) bool
+	// Room is called before each connection is accepted, and reports whether there is capacity for one more; if not,
+	// connections stay in the kernel's queue. evict is true if a connection is known to be waiting: the owner may then
+	// close others to free capacity. Room may be nil.
+	Room func(evict bool) bool
 
 	loop           *Loop
 	fd             int // -1 after Close
@@ -27,7 +27,7 @@
 	paused         bool
 	draining       bool
 	mayHaveWaiting bool    // connections in the queue may be older than the latest polls
-	knownEmptyAt   float64 // the queue was empty at this time or later
+	knownEmptyAt   float64 // the latest time at which the queue is known to have been empty
 }
 
 // Listen opens a TCP listener. newHandler returns the handler of an accepted connection, or nil to close it. Port 0
@@ -58,7 +58,7 @@
 	return ln, nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the address that the listener listens on.
 func (ln *Listener) Addr() netip.AddrPort { return ln.addr }
 
 // Drain accepts all connections in the kernel's queue, however long accepting has to pause in between, and then closes
@@ -137,11 +137,11 @@
 	}
 }
 
-// acceptOne accepts one connection and reports whether to continue. known says that epoll has reported a waiting
-// connection and none has been accepted since; the owner is then asked to make room.
-func (ln *Listener) acceptOne(known bool) bool {
+// acceptOne accepts one connection and reports whether to continue. knownWaiting is true if epoll has reported a waiting
+// connection and none has been accepted since; the owner is then asked to free capacity.
+func (ln *Listener) acceptOne(knownWaiting bool) bool {
 	l := ln.loop
-	if !ln.hasCapacity(known) {
+	if !ln.hasCapacity(knownWaiting) {
 		return false
 	}
 	fd, address, err := l.kernel.Accept(ln.fd)
@@ -160,7 +160,7 @@
 		return false
 	case unix.EMFILE:
 		l.Stats.DescriptorShortages.Add(1)
-		if l.releaseReserve() || l.OnDescriptorShortage != nil && l.OnDescriptorShortage() {
+		if l.freeDescriptor() {
 			return true
 		}
 		ln.backOff()
@@ -174,9 +174,9 @@
 	}
 }
 
-// hasCapacity reports whether one more connection may be accepted, and otherwise pauses accepting if one is known to
-// wait.
-func (ln *Listener) hasCapacity(known bool) bool {
+// hasCapacity reports whether one more connection may be accepted, and otherwise pauses accepting if one is known
+// to be waiting.
+func (ln *Listener) hasCapacity(knownWaiting bool) bool {
 	l := ln.loop
 	if l.maxConns > 0 && l.connCount >= l.maxConns {
 		ln.pause() // until Conn.release resumes it
@@ -185,10 +185,10 @@
 		}
 		return false
 	}
-	makeRoom := known || ln.draining
-	if ln.Room != nil && !ln.Room(makeRoom) {
+	evict := knownWaiting || ln.draining
+	if ln.Room != nil && !ln.Room(evict) {
 		ln.mayHaveWaiting = true
-		if makeRoom {
+		if evict {
 			ln.pauseFor(capacityBackoff)
 		}
 		return false
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -68,9 +68,9 @@
 	// OnDescriptorShortage is called when the process has no descriptor left; it may close one, and reports whether it
 	// did. It may be nil.
 	OnDescriptorShortage func() bool
-	// OnStall is called with the length in seconds of a stall of the process, after everything that arrived during the
+	// OnStall is called with the length of a stall of the process, after everything that arrived during the
 	// stall has been dispatched. It may be nil.
-	OnStall func(span float64)
+	OnStall func(seconds float64)
 	// Stats are updated by the loop.
 	Stats Stats
 
@@ -124,7 +124,7 @@
 		unix.Close(epollFD)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{
+	loop := &Loop{
 		kernel:         kernel,
 		epollFD:        epollFD,
 		wakeFD:         wakeFD,
@@ -139,10 +139,10 @@
 		unix.Close(wakeFD)
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	l.registrationTimer.Fire = l.retryRegistrations
-	l.backoffTimer.Fire = l.resumeBackedOff
-	l.restoreReserve()
-	return l, nil
+	loop.registrationTimer.Fire = loop.retryRegistrations
+	loop.backoffTimer.Fire = loop.resumeBackedOff
+	loop.restoreReserve()
+	return loop, nil
 }
 
 // Now returns the loop's clock: seconds since New, as of the latest poll.
--- a/internal/eventloop/reserve.go
+++ b/internal/eventloop/reserve.go
@@ -15,6 +15,15 @@
 	return true
 }
 
+// freeDescriptor makes a descriptor available when the process has none left: the reserve one, or one that the owner of the
+// loop closes. It reports whether there is one now.
+func (l *Loop) freeDescriptor() bool {
+	if l.releaseReserve() {
+		return true
+	}
+	return l.OnDescriptorShortage != nil && l.OnDescriptorShortage()
+}
+
 // restoreReserve opens a reserve descriptor again, if there is none and the process has one left.
 func (l *Loop) restoreReserve() {
 	if l.reserveFD < 0 {
--- a/internal/httpconn/call.go
+++ b/internal/httpconn/call.go
@@ -8,7 +8,7 @@
 
 // Errors with which a call ends without a response, beside those of its connection.
 var (
-	// ErrNotSent means that the call was given up before any of it was sent.
+	// ErrNotSent means that the call was abandoned before any of it was sent.
 	ErrNotSent = errors.New("given up before it was sent")
 	// ErrTruncated means that the connection ended in the middle of the response's body.
 	ErrTruncated = errors.New("the answer was cut short")
@@ -27,7 +27,7 @@
 	ResponseDone(err error)
 }
 
-// HeadRewriter is implemented by a ResponseHandler whose request states the time that is left to answer it. If the
+// HeadRewriter is implemented by a ResponseHandler whose request states the time that is left for the response. If the
 // request has waited for more than rules.MaxDeadlineAge before it is sent, its head is replaced.
 type HeadRewriter interface {
 	// RewriteHead returns the head as of now, or false if the request must not be sent any more.
@@ -41,7 +41,7 @@
 	Handler ResponseHandler
 	// SentAt is the loop's time at which the request was passed to an established connection; 0 before.
 	SentAt float64
-	// Set for a request with the method HEAD, whose response has no body.
+	// HEAD is set for a request with that method, whose response has no body.
 	HEAD bool
 	// SendDeadline is the loop's time after which the request must not be sent any more; 0 means never. The call then ends
 	// with ErrNotSent.
@@ -74,7 +74,7 @@
 	c.anyByteSent = false
 }
 
-// Cancel gives the call up: its connection is closed, and no method of the handler is called any more.
+// Cancel abandons the call: its connection is closed, and no method of the handler is called any more.
 func (c *Call) Cancel() {
 	c.failing = false
 	if c.queued {
--- a/internal/httpconn/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -8,8 +8,8 @@
 	"mastchute/internal/rules"
 )
 
-// bodyPieceBytes is the size of the pieces in which a request's body is written to the connection, so that no second copy
-// of a long body is held in memory.
+// bodyPieceBytes is the size of the pieces in which a request's body is written to the connection, so that a long body
+// is not held in memory twice.
 const bodyPieceBytes = 128 << 10
 
 // clientConn is one connection of a Pool. It carries one call at a time. It implements eventloop.Handler and
@@ -23,7 +23,7 @@
 	body         httpcodec.BodyDecoder
 	timer        eventloop.Timer // idle timeout
 	headReceived bool            // the head of the response to call
-	hasCarried   bool            // a call has been sent on it
+	hasSentCall  bool            // a call has been sent on the connection
 }
 
 // closeIdle closes the connection if it is idle.
@@ -45,8 +45,8 @@
 	delete(c.pool.conns, c)
 }
 
-// carry sends a call on the connection, or ends it with ErrNotSent if it has waited for too long.
-func (c *clientConn) carry(call *Call) {
+// startCall sends a call on the connection, or ends it with ErrNotSent if it has waited for too long.
+func (c *clientConn) startCall(call *Call) {
 	if c.refreshHead(call) {
 		c.send(call)
 		return
@@ -84,14 +84,14 @@
 	}
 	if tcp.Unwrite(call.startOffset, tcp.WrittenBytes()) {
 		call.unwrittenBody = call.fullBody
-		c.carry(call)
+		c.startCall(call)
 	}
 }
 
 func (c *clientConn) send(call *Call) {
 	c.call = call
 	c.headReceived = false
-	c.hasCarried = true
+	c.hasSentCall = true
 	call.conn = c
 	call.startOffset = c.tcp.WrittenBytes()
 	call.SentAt = c.pool.Loop.Now()
@@ -116,7 +116,7 @@
 // Connected implements eventloop.Handler.
 func (c *clientConn) Connected(*eventloop.Conn) {
 	if c.call != nil {
-		c.carry(c.call)
+		c.startCall(c.call)
 	} else {
 		c.pool.serveNext(c)
 	}
@@ -135,7 +135,7 @@
 	call := c.call
 	if call == nil {
 		c.pool.removeIdle(c)
-		if c.hasCarried {
+		if c.hasSentCall {
 			c.notifyLost()
 		}
 		return
--- a/internal/httpconn/client_response.go
+++ b/internal/httpconn/client_response.go
@@ -3,31 +3,34 @@
 import "mastchute/internal/eventloop"
 
 // Received implements eventloop.Handler.
-func (c *clientConn) Received(tcp *eventloop.Conn, b []byte) (used int) {
-	if c.call == nil || !tcp.Open() {
-		if c.call == nil && tcp.Open() && len(b) > 0 { // bytes that answer no request
+func (c *clientConn) Received(tcp *eventloop.Conn, input []byte) (used int) {
+	if !tcp.Open() {
+		return len(input)
+	}
+	if c.call == nil {
+		if len(input) > 0 { // the peer responds to no request: what follows could not be matched either
 			c.closeIdle()
 		}
-		return len(b)
+		return len(input)
 	}
 	if !c.headReceived {
-		n, proceed := c.readHead(b)
+		n, proceed := c.readHead(input)
 		if !proceed {
 			return n
 		}
 		used = n
 	}
-	return used + c.readBody(b[used:])
+	return used + c.readBody(input[used:])
 }
 
-// readHead parses the head of the response from the start of b, skipping interim (1xx) responses. It returns the number
+// readHead parses the head of the response from the start of input, skipping interim (1xx) responses. It returns the number
 // of bytes it consumed, and whether to continue with the body.
-func (c *clientConn) readHead(b []byte) (used int, proceed bool) {
+func (c *clientConn) readHead(input []byte) (used int, proceed bool) {
 	for {
-		n, err := c.parser.ParseResponse(b[used:], &c.head)
+		n, err := c.parser.ParseResponse(input[used:], &c.head)
 		if err != nil {
 			c.fail(ErrMalformedResponse)
-			return len(b), false
+			return len(input), false
 		}
 		if n == 0 {
 			return used, false
@@ -44,15 +47,15 @@
 	return used, c.call == call
 }
 
-// readBody decodes the body of the response from b, and ends the call when it is complete. It returns the number of bytes
+// readBody decodes the body of the response from input, and ends the call when it is complete. It returns the number of bytes
 // it consumed.
-func (c *clientConn) readBody(b []byte) (used int) {
+func (c *clientConn) readBody(input []byte) (used int) {
 	call := c.call
 	for !c.body.Done() {
-		data, n, err := c.body.Next(b[used:])
+		data, n, err := c.body.Next(input[used:])
 		if err != nil {
 			c.fail(ErrMalformedResponse)
-			return len(b)
+			return len(input)
 		}
 		used += n
 		if len(data) > 0 {
@@ -65,7 +68,7 @@
 			return used
 		}
 	}
-	c.finishCall(used < len(b))
+	c.finishCall(used < len(input))
 	return used
 }
 
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -62,29 +62,29 @@
 
 // Do sends a request. head is the complete head with the empty line that ends it. head and body must not be modified
 // until the call has ended or FullySent returns true.
-func (p *Pool) Do(c *Call, head, body []byte) {
-	c.reset(p, head, body)
+func (p *Pool) Do(call *Call, head, body []byte) {
+	call.reset(p, head, body)
 	if n := len(p.idle); n > 0 {
 		conn := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.Loop.Cancel(&conn.timer)
-		conn.carry(c)
+		conn.startCall(call)
 		return
 	}
 	if len(p.conns) >= p.options.MaxConnections {
-		c.queued = true
-		p.queue = append(p.queue, c)
+		call.queued = true
+		p.queue = append(p.queue, call)
 		return
 	}
-	p.dial(c)
+	p.dial(call)
 }
 
 // dial opens a connection for a call.
-func (p *Pool) dial(c *Call) {
-	conn := &clientConn{pool: p, call: c, parser: httpcodec.Parser{Limits: responseLimits}}
+func (p *Pool) dial(call *Call) {
+	conn := &clientConn{pool: p, call: call, parser: httpcodec.Parser{Limits: responseLimits}}
 	conn.timer.Fire = conn.closeIdle
 	p.conns[conn] = struct{}{}
-	c.conn = conn
+	call.conn = conn
 	conn.tcp = p.Loop.Dial(p.Addr, p.options.ConnectTimeout, conn)
 }
 
@@ -99,7 +99,7 @@
 	case conn == nil:
 		p.dial(next)
 	default:
-		conn.carry(next)
+		conn.startCall(next)
 	}
 }
 
@@ -109,7 +109,7 @@
 	if p.QueuedCount() == 0 {
 		return nil
 	}
-	c := p.queue[p.queueStart]
+	call := p.queue[p.queueStart]
 	p.queue[p.queueStart] = nil
 	p.queueStart++
 	if 2*p.queueStart >= len(p.queue) {
@@ -118,19 +118,19 @@
 		p.queue = p.queue[:n]
 		p.queueStart = 0
 	}
-	c.queued = false
-	return c
+	call.queued = false
+	return call
 }
 
 // unqueue removes a call from the queue.
-func (p *Pool) unqueue(c *Call) {
+func (p *Pool) unqueue(call *Call) {
 	for i := p.queueStart; i < len(p.queue); i++ {
-		if p.queue[i] == c {
+		if p.queue[i] == call {
 			p.queue = append(p.queue[:i], p.queue[i+1:]...)
 			break
 		}
 	}
-	c.queued = false
+	call.queued = false
 }
 
 // keepIdle keeps a connection for later calls, or closes it if there are enough.
@@ -177,20 +177,20 @@
 			calls = append(calls, conn.call)
 		}
 	}
-	for _, c := range calls {
-		c.Cancel()
-		p.failSoon(c)
+	for _, call := range calls {
+		call.Cancel()
+		p.failSoon(call)
 	}
 }
 
 // failSoon ends a call that has no connection with ErrNotSent, once the current event has been handled, unless the call is
 // cancelled or used again before.
-func (p *Pool) failSoon(c *Call) {
-	c.failing = true
+func (p *Pool) failSoon(call *Call) {
+	call.failing = true
 	p.Loop.Defer(func() {
-		if c.failing {
-			c.failing = false
-			c.Handler.ResponseDone(ErrNotSent)
+		if call.failing {
+			call.failing = false
+			call.Handler.ResponseDone(ErrNotSent)
 		}
 	})
 }
--- a/internal/httpconn/server.go
+++ b/internal/httpconn/server.go
@@ -58,7 +58,7 @@
 	ClientGone(x *Exchange)
 	// StreamWritable is called when a streamed response may be continued after WriteStream has returned false.
 	StreamWritable(x *Exchange)
-	// Called for each message that the server itself rejects, so that it can be counted.
+	// RequestRefused is called for each message that the server itself rejects, so that it can be counted.
 	RequestRefused(e *httpcodec.Error)
 }
 
@@ -76,7 +76,7 @@
 }
 
 // NewServer listens at an address and returns the server that serves there.
-func NewServer(l *eventloop.Loop, at netip.AddrPort, service Service, options ServerOptions) (*Server, error) {
+func NewServer(l *eventloop.Loop, addr netip.AddrPort, service Service, options ServerOptions) (*Server, error) {
 	s := &Server{
 		Loop:    l,
 		Service: service,
@@ -84,11 +84,11 @@
 		conns:   map[*serverConn]struct{}{},
 	}
 	var err error
-	s.listener, err = l.Listen(at, s.accept)
+	s.listener, err = l.Listen(addr, s.accept)
 	return s, err
 }
 
-// Addr returns the address listened on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort { return s.listener.Addr() }
 
 // ConnectionCount returns the number of open connections, or more while connections may still be waiting to be accepted
@@ -100,9 +100,9 @@
 	return len(s.conns)
 }
 
-// Drain starts a graceful shutdown: connections that wait in the kernel's queue are accepted and then no more, idle
-// connections are closed once no byte has arrived for a moment, and the others after the response to the request in
-// flight.
+// Drain starts a graceful shutdown: connections that wait in the kernel's queue are accepted, and no later ones. Idle
+// connections are closed once no byte has arrived for drainIdleTimeout, and the others after the response to the request
+// in flight.
 func (s *Server) Drain() {
 	s.draining = true
 	s.listener.Drain()
--- a/internal/httpconn/server_conn.go
+++ b/internal/httpconn/server_conn.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// release forgets a connection that has ended.
+// release removes a connection that has ended from the server, and its timer from the loop.
 func (c *serverConn) release() {
 	if c.exchange != nil {
 		c.server.releaseExchange(c.exchange)
@@ -76,16 +76,16 @@
 // onTimeout ends a connection that has been idle for too long, whose request does not arrive, or whose peer does not
 // read a streamed response.
 func (c *serverConn) onTimeout() {
-	x := c.exchange
+	exchange := c.exchange
 	switch {
 	case c.isIdle():
 		c.closeIdle()
-	case x == nil:
+	case exchange == nil:
 		c.reject(errHeadTimeout)
-	case !x.requestComplete:
+	case !exchange.requestComplete:
 		c.reject(errBodyTimeout)
-	case x.streaming:
-		c.server.Service.ClientGone(x)
+	case exchange.streaming:
+		c.server.Service.ClientGone(exchange)
 		c.tcp.Abort()
 		c.release()
 	}
@@ -104,28 +104,28 @@
 // reject responds to a message that is not accepted, and closes the connection.
 func (c *serverConn) reject(e *httpcodec.Error) {
 	c.server.Service.RequestRefused(e)
-	x := c.exchange
-	if x == nil {
-		x = c.newExchange()
+	exchange := c.exchange
+	if exchange == nil {
+		exchange = c.newExchange()
 	}
-	x.closeAfter = true
-	x.Problem(e.Status, e.Reason)
+	exchange.closeAfter = true
+	exchange.Problem(e.Status, e.Reason)
 }
 
 // newExchange makes an exchange the current one, reusing a released one if possible.
 func (c *serverConn) newExchange() *Exchange {
 	s := c.server
-	var x *Exchange
+	var exchange *Exchange
 	if n := len(s.freeExchanges); n > 0 {
-		x = s.freeExchanges[n-1]
+		exchange = s.freeExchanges[n-1]
 		s.freeExchanges = s.freeExchanges[:n-1]
 	} else {
-		x = new(Exchange)
+		exchange = new(Exchange)
 	}
-	x.conn = c
-	x.Peer = c.tcp.Peer()
-	c.exchange = x
-	return x
+	exchange.conn = c
+	exchange.Peer = c.tcp.Peer()
+	c.exchange = exchange
+	return exchange
 }
 
 // releaseExchange returns the memory that an exchange has reserved, and keeps the exchange and its buffers for reuse.
--- a/internal/httpconn/server_read.go
+++ b/internal/httpconn/server_read.go
@@ -8,17 +8,17 @@
 var continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
 // Received implements eventloop.Handler. It reads requests one after the other. A pipelined request waits, unconsumed,
-// until the one before it has been answered; beyond the size of a head the peer is held back.
-func (c *serverConn) Received(_ *eventloop.Conn, b []byte) int {
+// until the response to the one before it is complete; beyond the size of a head the peer is held back.
+func (c *serverConn) Received(_ *eventloop.Conn, input []byte) int {
 	c.receiving = true
 	defer func() { c.receiving = false }()
 	used := 0
 	for c.tcp.Open() {
 		if c.exchange == nil {
-			if used == len(b) {
+			if used == len(input) {
 				break
 			}
-			n, proceed := c.readHead(b[used:])
+			n, proceed := c.readHead(input[used:])
 			used += n
 			if !proceed {
 				break
@@ -26,12 +26,12 @@
 			continue
 		}
 		if c.exchange.requestComplete {
-			if len(b)-used > c.server.options.Limits.Head {
+			if len(input)-used > c.server.options.Limits.Head {
 				c.tcp.Pause()
 			}
 			break
 		}
-		n, proceed := c.readBody(b[used:])
+		n, proceed := c.readBody(input[used:])
 		used += n
 		if !proceed {
 			break
@@ -40,36 +40,36 @@
 	return used
 }
 
-// readHead parses the head of a request from the start of b. It returns the number of bytes it consumed, and whether to
+// readHead parses the head of a request from the start of input. It returns the number of bytes it consumed, and whether to
 // continue with the rest.
-func (c *serverConn) readHead(b []byte) (used int, proceed bool) {
-	x := c.newExchange()
-	n, err := c.parser.ParseRequest(b, &x.Head)
+func (c *serverConn) readHead(input []byte) (used int, proceed bool) {
+	exchange := c.newExchange()
+	n, err := c.parser.ParseRequest(input, &exchange.Head)
 	if err != nil {
 		c.reject(err.(*httpcodec.Error)) // the parser returns no others
-		return len(b), false
+		return len(input), false
 	}
 	if n == 0 {
-		c.awaitHead(x)
+		c.awaitHead(exchange)
 		return 0, false
 	}
 	c.headStarted = false
-	x.headBytes = append(x.headBytes[:0], b[:n]...)
-	rebaseHead(&x.Head, b[:n], x.headBytes)
-	x.decoder.ResetRequest(&x.Head, c.server.options.Limits)
-	x.headOnly = httpcodec.EqualsLower(x.Head.Method, "head")
-	x.closeAfter = x.Head.Close || c.server.draining
-	if c.server.Service.HeadReceived(x) {
-		if c.exchange == x { // the service has claimed a response that it has not given
+	exchange.headBytes = append(exchange.headBytes[:0], input[:n]...)
+	rebaseHead(&exchange.Head, input[:n], exchange.headBytes)
+	exchange.decoder.ResetRequest(&exchange.Head, c.server.options.Limits)
+	exchange.headOnly = httpcodec.EqualsLower(exchange.Head.Method, "head")
+	exchange.closeAfter = exchange.Head.Close || c.server.draining
+	if c.server.Service.HeadReceived(exchange) {
+		if c.exchange == exchange { // the service reported a response that it did not write
 			c.reject(errNoResponse)
 		}
 		return n, c.exchange == nil && c.tcp.Open()
 	}
-	if x.Head.Length > 0 && !x.reserve(x.Head.Length) {
+	if exchange.Head.Length > 0 && !exchange.reserve(exchange.Head.Length) {
 		c.reject(errNoMemory)
-		return len(b), false
+		return len(input), false
 	}
-	if x.Head.Expect && !x.decoder.Done() {
+	if exchange.Head.Expect && !exchange.decoder.Done() {
 		c.tcp.Write(continueResponse)
 	}
 	c.server.Loop.Start(&c.timer, c.server.options.BodyTimeout)
@@ -87,30 +87,30 @@
 	}
 }
 
-// readBody decodes the body of the current request from b, and passes the request to the service when it is complete. It
+// readBody decodes the body of the current request from input, and passes the request to the service when it is complete. It
 // returns the number of bytes it consumed, and whether to continue with the rest.
-func (c *serverConn) readBody(b []byte) (used int, proceed bool) {
-	x := c.exchange
-	for !x.decoder.Done() {
-		data, n, err := x.decoder.Next(b[used:])
+func (c *serverConn) readBody(input []byte) (used int, proceed bool) {
+	exchange := c.exchange
+	for !exchange.decoder.Done() {
+		data, n, err := exchange.decoder.Next(input[used:])
 		if err != nil {
 			c.reject(err.(*httpcodec.Error)) // the decoder returns no others
-			return len(b), false
+			return len(input), false
 		}
-		if x.Head.Chunked && !x.reserve(int64(len(data))) {
+		if exchange.Head.Chunked && !exchange.reserve(int64(len(data))) {
 			c.reject(errNoMemory)
-			return len(b), false
+			return len(input), false
 		}
-		x.Body = append(x.Body, data...)
+		exchange.Body = append(exchange.Body, data...)
 		used += n
 		if n == 0 {
 			c.server.Loop.Start(&c.timer, c.server.options.BodyTimeout)
 			return used, false
 		}
 	}
-	x.requestComplete = true
+	exchange.requestComplete = true
 	c.server.Loop.Cancel(&c.timer)
-	c.server.Service.RequestReceived(x)
+	c.server.Service.RequestReceived(exchange)
 	return used, true
 }
 
--- a/internal/thrift/frame.go
+++ b/internal/thrift/frame.go
@@ -29,7 +29,7 @@
 	errInvalidField   = errors.New("a word is missing or malformed")
 )
 
-// ReadFrame returns the payload of the first frame of data and how many bytes the frame takes, 0 if it is not complete yet.
+// ReadFrame returns the payload of the first frame of data and the frame's length in bytes, 0 if it is not complete yet.
 // It returns an error as soon as data has the length of a frame beyond maxBytes; nothing after it can be read then.
 func ReadFrame(data []byte, maxBytes int) (payload []byte, n int, err error) {
 	if len(data) < frameHeadBytes {
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -53,7 +53,8 @@
 			r.skip(fieldType, 0)
 		}
 	}
-	if !hasBody || len(m.Body) > MaxBodyBytes || len(m.ID) != idDigits || len(m.Model) != idDigits || len(m.Group) == 0 {
+	hasIDs := len(m.ID) == idDigits && len(m.Model) == idDigits
+	if !hasBody || len(m.Body) > MaxBodyBytes || !hasIDs || len(m.Group) == 0 {
 		m.setFault(errInvalidField)
 	}
 	if m.Timeout <= 0 {
@@ -185,9 +186,13 @@
 // isIdempotencyKey reports whether text can be passed to a worker in a line as it is.
 func isIdempotencyKey(text []byte) bool {
 	for _, char := range text {
-		if !(char >= '0' && char <= '9' || char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z' || char == '-' || char == '_') {
+		if !isAlphanumeric(char) && char != '-' && char != '_' {
 			return false
 		}
 	}
 	return len(text) > 0 && len(text) <= maxIdempotencyKeyBytes
 }
+
+func isAlphanumeric(char byte) bool {
+	return char >= '0' && char <= '9' || char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z'
+}
--- a/internal/workerproto/load_report.go
+++ b/internal/workerproto/load_report.go
@@ -8,7 +8,7 @@
 	if len(names) == 0 || len(names) > len(values) {
 		return 0
 	}
-	seen := 0 // a bit for each name
+	seen := 0 // a bit for each name whose value was read
 	for len(report) > 0 {
 		var entry []byte
 		entry, report = cutEntry(report, ';')
@@ -28,7 +28,8 @@
 			seen |= 1 << i
 		}
 	}
-	if seen != 1<<len(names)-1 {
+	allSeen := 1<<len(names) - 1
+	if seen != allSeen {
 		return 0
 	}
 	return len(names)
--- a/internal/workerproto/response.go
+++ b/internal/workerproto/response.go
@@ -1,5 +1,5 @@
-// Package workerproto reads and writes the platform's worker protocol on byte slices. A message is a line of words that ends
-// in CR LF. If the last word is a length, a body of that many bytes and another CR LF follow. The package does no I/O and
+// Package workerproto reads and writes the platform's worker protocol on byte slices. A message is a line of tokens, separated by
+// single spaces, that ends in CR LF. If the last token is a length, a body of that many bytes and another CR LF follow. The package does no I/O and
 // has no clock. What it returns points into the slices that it was given.
 package workerproto
 
@@ -15,7 +15,7 @@
 	MaxBodyBytes = 256 << 10 // bytes of its body
 )
 
-const maxDecimalDigits = 9 // so that a length fits in 32 bits
+const maxDecimalDigits = 9 // so that a number fits in 32 bits
 
 // The errors of ReadResponse.
 var (
@@ -34,7 +34,7 @@
 	Body       []byte
 }
 
-// ReadResponse reads the first response of data and returns how many bytes it takes, 0 if it is not complete yet. It returns
+// ReadResponse reads the first response of data and its length in bytes, 0 if it is not complete yet. It returns
 // an error as soon as data shows that the response is malformed or exceeds a bound; nothing after it can be read then.
 func ReadResponse(data []byte) (response Response, n int, err error) {
 	line, lineLen, err := readLine(data)
@@ -54,7 +54,7 @@
 	return response, lineLen + bodyLen + len("\r\n"), nil
 }
 
-// readLine returns the first line of data without its end, and how many bytes it takes with it, 0 if it is not complete.
+// readLine returns the first line of data without its end, and its length in bytes with it, 0 if it is not complete.
 func readLine(data []byte) (line []byte, n int, err error) {
 	end := -1
 	for i := 0; i < len(data) && i <= MaxLineBytes; i++ {
@@ -78,14 +78,14 @@
 
 // parseLine parses a response's line: tag, result, fields and the length of the body.
 func parseLine(line []byte) (response Response, bodyLen int, err error) {
-	id, rest, idOK := cutWord(line)
-	resultWord, rest, resultOK := cutWord(rest)
-	fields, length, fieldsOK := cutWord(rest)
+	id, rest, idOK := cutToken(line)
+	resultToken, rest, resultOK := cutToken(rest)
+	fields, length, fieldsOK := cutToken(rest)
 	if !idOK || !resultOK || !fieldsOK {
 		return Response{}, 0, errMalformedLine
 	}
 	response.ID = id
-	result, known := parseResult(resultWord)
+	result, known := parseResult(resultToken)
 	if !known || !response.parseFields(fields) {
 		return Response{}, 0, errMalformedLine
 	}
@@ -110,8 +110,8 @@
 	return true, nil
 }
 
-// cutWord cuts the first word off a line. ok is false if it is empty or no single space follows it.
-func cutWord(line []byte) (word, rest []byte, ok bool) {
+// cutToken cuts the first token off a line. ok is false if it is empty or no space follows it.
+func cutToken(line []byte) (token, rest []byte, ok bool) {
 	for i, char := range line {
 		if char == ' ' {
 			return line[:i], line[i+1:], i > 0
@@ -138,8 +138,8 @@
 }
 
 // parseResult maps the result of a response. Those of a health check map to success and to an error.
-func parseResult(word []byte) (result control.Result, ok bool) {
-	switch string(word) {
+func parseResult(token []byte) (result control.Result, ok bool) {
+	switch string(token) {
 	case "served", "green":
 		return control.Succeeded, true
 	case "not_here":
