--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -17,10 +17,10 @@
 
 // The exit codes of the program.
 const (
-	ExitOK      = 0 // the command succeeded, or the dispatcher stopped with every request answered
+	ExitOK      = 0 // the command succeeded, or the dispatcher stopped with a response to every request
 	ExitError   = 1 // a setting, an address or an argument was wrong; or a scenario of the lab broke a rule
-	ExitCrash   = 3 // the decision module or the event loop failed; every request in flight was answered failed
-	ExitStopped = 4 // the dispatcher stopped, but the grace period ended with requests in flight; they were answered failed
+	ExitCrash   = 3 // the decision module or the event loop failed; every request in flight got a failure as its response
+	ExitStopped = 4 // the dispatcher stopped, but the grace period ended with requests in flight, which got failures as their responses
 )
 
 // Serve runs a dispatcher by a settings file until it has stopped, and returns the exit code.
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -115,7 +115,7 @@
 	return Problems{problem}
 }
 
-// goTypes describe the types of settings by the prefix of their Go names.
+// goTypes describe the types of settings to operators, by the prefix of their Go names.
 var goTypes = []struct{ prefix, description string }{
 	{"int", "a whole number"},
 	{"uint", "a whole number"},
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// unit is a suffix of a quantity, and the quantity that it stands for.
+// unit is a suffix of a quantity, and the factor by which it multiplies the number.
 type unit struct {
 	suffix string
 	factor float64
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -47,15 +47,15 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
-	ln := &Listener{loop: l, fd: fd, addr: at, newHandler: newHandler, knownEmptyAt: l.now}
+	listener := &Listener{loop: l, fd: fd, addr: at, newHandler: newHandler, knownEmptyAt: l.now}
 	bound, err := unix.Getsockname(fd)
 	if err == nil {
-		ln.addr = addrPort(bound)
+		listener.addr = addrPort(bound)
 	}
-	ln.timer.Fire = ln.onBackoffEnd
-	l.register(fd, unix.EPOLLIN, registration{listener: ln})
-	l.listeners = append(l.listeners, ln)
-	return ln, nil
+	listener.timer.Fire = listener.onBackoffEnd
+	l.register(fd, unix.EPOLLIN, registration{listener: listener})
+	l.listeners = append(l.listeners, listener)
+	return listener, nil
 }
 
 // Addr returns the address that the listener listens on.
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -115,9 +115,9 @@
 			t.Errorf("%d connections, 2 allowed", l.Stats.Connections.Load())
 		}
 	})
-	first.Close() // makes room
+	first.Close() // frees capacity
 	if _, err := io.ReadFull(third, make([]byte, 1)); err != nil {
-		t.Errorf("the third was not accepted when there was room: %v", err)
+		t.Errorf("the third was not accepted when there was capacity: %v", err)
 	}
 }
 
--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -115,7 +115,7 @@
 	eventlooptest.Until(t, l, "the sent call ends", func() bool { return sent.done == 1 && sent.err == nil })
 }
 
-// Each way in which a response can fail ends the call with the error that says so.
+// Each way in which a response can fail ends the call with the error defined for it.
 func TestFailedResponses(t *testing.T) {
 	l := startLoop(t)
 	for _, c := range []struct {
--- a/internal/httpconn/server.go
+++ b/internal/httpconn/server.go
@@ -49,7 +49,7 @@
 type Service interface {
 	// HeadReceived is called when the head of a request has been received. It returns false to have the body read, or
 	// true if it has responded already.
-	HeadReceived(x *Exchange) (answered bool)
+	HeadReceived(x *Exchange) (responded bool)
 	// RequestReceived is called when the whole request has been received. The service must respond exactly once, during
 	// the call or later.
 	RequestReceived(x *Exchange)
--- a/internal/platform/client_transport.go
+++ b/internal/platform/client_transport.go
@@ -37,7 +37,7 @@
 
 	draining   bool            // the listener accepts no more connections than those in its backlog
 	drainTimer eventloop.Timer // runs while draining and idle; started anew by each arrival
-	stopping   bool            // shutdown has begun: clients' health checks are answered with false
+	stopping   bool            // shutdown has begun: the response to clients' health checks is false
 	sendsHeld  func() bool     // reports whether nothing may be sent to workers for the moment
 	dropCounts map[string]int  // by reason
 }
--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -52,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := parseConfig(text)
+	file, err := parseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return file, nil
 }
 
 // parseConfig parses and checks the text of a configuration file.
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -27,7 +27,7 @@
 	logger       zerolog.Logger
 	config       *ConfigFile // in force since the start, except for the change log's address
 	maxTimeout   float64     // s, the longest of the model groups'
-	answerBy     float64     // on the loop's clock: when all must be answered, once shutdown has begun
+	answerBy     float64     // on the loop's clock: when each request must have its response, once shutdown has begun
 	stopTimer    eventloop.Timer
 	dropLogTimer eventloop.Timer
 	loggedDrops  map[string]int // by reason, as last logged
@@ -107,8 +107,8 @@
 	d.watchChangeLog(file)
 }
 
-// Stop begins a graceful shutdown: requests are accepted for a while, then what is in flight is answered, and the loop
-// ends. Only the first call has an effect.
+// Stop begins a graceful shutdown: requests are accepted for a while, then those in flight get their responses, and the
+// loop ends. Only the first call has an effect.
 func (d *Dispatcher) Stop() {
 	if d.clients.stopping {
 		return
--- a/internal/platform/fake_client_test.go
+++ b/internal/platform/fake_client_test.go
@@ -39,7 +39,7 @@
 	client := h.dial()
 	client.Write(aliveFrame(1))
 	if _, ok := client.readReply(); !ok {
-		h.t.Fatal("no answer to alive")
+		h.t.Fatal("no response to alive")
 	}
 	client.seq = 1
 	return client
--- a/internal/platform/fake_worker_test.go
+++ b/internal/platform/fake_worker_test.go
@@ -41,7 +41,7 @@
 	resetConn     = workerAction(func(conn net.Conn, _ workerMessage) { conn.(*net.TCPConn).SetLinger(0); conn.Close() })
 )
 
-// writeRaw returns the action of sending a text in which ID stands for the message's id.
+// writeRaw returns the action of sending a text in which ID is replaced by the message's id.
 func writeRaw(text string) workerAction {
 	return func(conn net.Conn, message workerMessage) {
 		io.WriteString(conn, strings.ReplaceAll(text, "ID", message.id))
--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -16,12 +16,12 @@
 
 // gatewayConfig returns the gateway's configuration for the settings.
 func (f *ConfigFile) gatewayConfig() *config.Config {
-	c := config.Default()
-	c.Name = f.Name
-	c.Log.Sample = 0
-	c.Roster.Discovery = f.settings.Discovery.Mode.String()
+	cfg := config.Default()
+	cfg.Name = f.Name
+	cfg.Log.Sample = 0
+	cfg.Roster.Discovery = f.settings.Discovery.Mode.String()
 	for i, group := range f.settings.Groups {
-		c.Groups = append(c.Groups, config.Group{
+		cfg.Groups = append(cfg.Groups, config.Group{
 			Name:    f.groupName(i),
 			Effect:  group.Effect.String(),
 			Scope:   group.Scope.String(),
@@ -31,12 +31,12 @@
 		})
 	}
 	for i := range f.settings.Tenants {
-		c.Tenants = append(c.Tenants, config.Tenant{Name: f.settingValues.Text("tenants." + strconv.Itoa(i) + ".name")})
+		cfg.Tenants = append(cfg.Tenants, config.Tenant{Name: f.settingValues.Text("tenants." + strconv.Itoa(i) + ".name")})
 	}
-	c.Report = f.settings.LoadReportFields
-	c.Loads.Timeout = config.S(f.positiveOr("models.order_timeout", c.Loads.Timeout.Seconds))
-	c.Limits.Requests = min(int(f.positiveOr("limits.open_cap", defaultMaxRequests)), f.maxRequestsByMemory())
-	c.Limits.ConnectTimeout = config.S(f.positiveOr("limits.connect_timeout", c.Limits.ConnectTimeout.Seconds))
-	c.Limits.WorkerIdleTimeout = config.S(f.positiveOr("limits.conn_idle", c.Limits.WorkerIdleTimeout.Seconds))
-	return &c
+	cfg.Report = f.settings.LoadReportFields
+	cfg.Loads.Timeout = config.S(f.positiveOr("models.order_timeout", cfg.Loads.Timeout.Seconds))
+	cfg.Limits.Requests = min(int(f.positiveOr("limits.open_cap", defaultMaxRequests)), f.maxRequestsByMemory())
+	cfg.Limits.ConnectTimeout = config.S(f.positiveOr("limits.connect_timeout", cfg.Limits.ConnectTimeout.Seconds))
+	cfg.Limits.WorkerIdleTimeout = config.S(f.positiveOr("limits.conn_idle", cfg.Limits.WorkerIdleTimeout.Seconds))
+	return &cfg
 }
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -53,7 +53,7 @@
 	})
 	for timeout, kill := range map[float64]float64{0.5: 1.2, 3: 3.7, 9: 3.7} { // the platform kills so long after SIGTERM
 		if end := lifecycle.PlanStop(stopTimes, timeout).AnswerBy; end > kill-0.1 || end < kill-0.5 {
-			t.Errorf("timeout %g: all is answered %g s after SIGTERM, and the kill comes after %g s", timeout, end, kill)
+			t.Errorf("timeout %g: the last response is due %g s after SIGTERM, and the kill comes after %g s", timeout, end, kill)
 		}
 	}
 	if reply, ok := unsent.readReply(); !ok || replyKind(reply) != "shed" {
--- a/internal/platform/unsent_attempt_test.go
+++ b/internal/platform/unsent_attempt_test.go
@@ -34,7 +34,7 @@
 		}
 		loop.AfterEvents = func() {
 			loop.AfterEvents = afterEvents
-			afterEvents() // the decisions order the attempt, and drainQueue is scheduled
+			afterEvents() // the decisions send the attempt, and drainQueue is scheduled
 			intercept := func() {
 				then(accepted)
 				close(done)
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -21,7 +21,7 @@
 type workerConn struct {
 	transport       *workerTransport
 	conn            *eventloop.Conn
-	inFlight        []*workerCall // written and not answered, in no particular order
+	inFlight        []*workerCall // written and without a response, in no particular order
 	established     bool
 	closed          bool
 	timer           eventloop.Timer // the idle timeout, or that of a partial response
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -42,8 +42,8 @@
 
 // onCapacityFreed schedules the transports that wait for a descriptor: a connection has ended or become idle.
 func (p *workerPool) onCapacityFreed() {
-	for _, t := range p.awaitingDescriptor {
-		t.scheduleDrain()
+	for _, transport := range p.awaitingDescriptor {
+		transport.scheduleDrain()
 	}
 	clear(p.awaitingDescriptor)
 	p.awaitingDescriptor = p.awaitingDescriptor[:0]
@@ -51,8 +51,8 @@
 
 // resumeSends schedules the transports that have calls queued since sends were held.
 func (p *workerPool) resumeSends() {
-	for _, t := range p.awaitingRelease {
-		t.scheduleDrain()
+	for _, transport := range p.awaitingRelease {
+		transport.scheduleDrain()
 	}
 	clear(p.awaitingRelease)
 	p.awaitingRelease = p.awaitingRelease[:0]
--- a/internal/platform/worker_response_test.go
+++ b/internal/platform/worker_response_test.go
@@ -32,7 +32,7 @@
 		}, "failed", 1},
 		{"stops short", writeRaw("ID served detail=resident 9\r\nwe"), "failed", 1},
 		{"stray in front", writeRaw("x1 served - 2\r\nno\r\nID served detail=resident 4\r\nwell\r\n"), "returned", 1},
-		{"second copy", writeRaw(strings.Repeat("ID served detail=resident 4\r\nwell\r\n", 2)), "returned", 1},
+		{"duplicate response", writeRaw(strings.Repeat("ID served detail=resident 4\r\nwell\r\n", 2)), "returned", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var attempts atomic.Int64
--- a/internal/thrift/message.go
+++ b/internal/thrift/message.go
@@ -34,7 +34,7 @@
 )
 
 // Message is a message of a client. Its slices point into the frame. If Fault is set, the message was read but its content
-// cannot be used: it is to be answered by an exception under SeqID.
+// cannot be used: the response is an exception under SeqID.
 type Message struct {
 	Method      Method
 	SeqID       int32
