--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -24,14 +24,14 @@
 
 	clients      *clientTransport
 	watch        *watchClient
-	logger       zerolog.Logger
+	log          zerolog.Logger
 	config       *ConfigFile // in force since the start, except for the change log's address
 	maxTimeout   float64     // s, the longest of the model groups'
 	answerBy     float64     // on the loop's clock: when each request must have its response, once shutdown has begun
 	stopTimer    eventloop.Timer
 	dropLogTimer eventloop.Timer
 	loggedDrops  map[string]int // by reason, as last logged
-	loopDone     chan error     // receives the loop's result when it has ended
+	loopEnded    chan error     // receives the loop's result when it has ended
 }
 
 // New returns a dispatcher for a configuration, which listens already. It serves once its loop runs. When New fails, all
@@ -43,11 +43,11 @@
 	}
 	dispatcher := &Dispatcher{
 		Loop:        loop,
-		logger:      log,
+		log:         log,
 		config:      file,
 		maxTimeout:  file.maxGroupTimeout(),
 		loggedDrops: map[string]int{},
-		loopDone:    make(chan error, 1),
+		loopEnded:   make(chan error, 1),
 	}
 	err = dispatcher.newGateway()
 	if err != nil {
@@ -82,7 +82,7 @@
 		return control.New(seed, settings, actions)
 	}
 	var err error
-	d.Gateway, err = gateway.New(d.Loop, options, d.logger, newModule)
+	d.Gateway, err = gateway.New(d.Loop, options, d.log, newModule)
 	return err
 }
 
@@ -90,7 +90,7 @@
 func (d *Dispatcher) watchChangeLog(file *ConfigFile) {
 	err := d.watch.applyResponse(&file.Known)
 	if err != nil {
-		d.logger.Error().Err(err).Msg("workers of the configuration rejected")
+		d.log.Error().Err(err).Msg("workers of the configuration rejected")
 	}
 	d.watch.startPolling(file.changeLogAddr)
 }
@@ -98,11 +98,11 @@
 // Reload puts the parts of a new configuration into force that can change in service: the change log's address, and the
 // workers known from it. Other fields that changed are logged.
 func (d *Dispatcher) Reload(file *ConfigFile) {
-	d.logger.Info().Str("change_log", file.ChangeLog).Msg("configuration reloaded")
+	d.log.Info().Str("change_log", file.ChangeLog).Msg("configuration reloaded")
 	d.Gateway.RecordEvent("reload", "", nil, nil, 0)
 	fields := d.config.changedFields(file)
 	if len(fields) > 0 {
-		d.logger.Warn().Strs("fields", fields).Msg("changed fields take effect after a restart only")
+		d.log.Warn().Strs("fields", fields).Msg("changed fields take effect after a restart only")
 	}
 	d.watchChangeLog(file)
 }
@@ -114,7 +114,7 @@
 		return
 	}
 	d.clients.stopping = true
-	d.logger.Info().Int("in_flight", d.Gateway.InFlight()).Msg("stop requested")
+	d.log.Info().Int("in_flight", d.Gateway.InFlight()).Msg("stop requested")
 	requestedAt := d.Loop.ArrivedAt() // earlier than now if the process was stalled when the signal came
 	plan := lifecycle.PlanStop(stopTimes, d.maxTimeout)
 	d.answerBy = requestedAt + plan.AnswerBy
@@ -123,7 +123,7 @@
 
 // logDrops logs the counts by reason that have changed since they were logged last.
 func (d *Dispatcher) logDrops() {
-	event := d.logger.Info()
+	event := d.log.Info()
 	changed := false
 	for reason, count := range d.clients.dropCounts {
 		if count != d.loggedDrops[reason] {
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -81,10 +81,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { h.dispatcher.loopDone <- h.dispatcher.Loop.Run() }()
+	go func() { h.dispatcher.loopEnded <- h.dispatcher.Loop.Run() }()
 	t.Cleanup(func() {
 		h.dispatcher.Loop.Stop()
-		if err := <-h.dispatcher.loopDone; err != nil {
+		if err := <-h.dispatcher.loopEnded; err != nil {
 			t.Error(err)
 		}
 	})
@@ -170,14 +170,14 @@
 func (h *harness) waitEnd() {
 	h.t.Helper()
 	select {
-	case err := <-h.dispatcher.loopDone:
+	case err := <-h.dispatcher.loopEnded:
 		if err != nil {
 			h.t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
 		h.t.Fatal("the dispatcher does not end")
 	}
-	h.dispatcher.loopDone <- nil
+	h.dispatcher.loopEnded <- nil
 }
 
 // answerInFlight passes the response to the attempt in flight to its connection, as if the worker had sent it.
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -45,7 +45,7 @@
 	changed.Name = "n1"
 	var out bytes.Buffer
 	h.onLoop(func() {
-		h.dispatcher.logger = zerolog.New(&out)
+		h.dispatcher.log = zerolog.New(&out)
 		h.dispatcher.Reload(&changed)
 	})
 	if !strings.Contains(out.String(), `["name","limits"]`) {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -45,8 +45,8 @@
 		return app.ExitError
 	}
 	limitRuntime(file)
-	log, flush := app.Logger(config.Log{Level: "info", Format: "json"}, out)
-	defer flush()
+	log, closeLog := app.Logger(config.Log{Level: "info", Format: "json"}, out)
+	defer closeLog()
 	dispatcher, err := newWithRetry(file, path, log, signals)
 	if errors.Is(err, lifecycle.ErrStopRequested) {
 		log.Info().Msg("stop requested before start")
@@ -56,9 +56,9 @@
 		fmt.Fprintln(out, "mastchute:", err)
 		return app.ExitError
 	}
-	go func() { dispatcher.loopDone <- dispatcher.Loop.Run() }()
+	go func() { dispatcher.loopEnded <- dispatcher.Loop.Run() }()
 	logServing(log, file)
-	return dispatcher.handleSignals(path, signals)
+	return dispatcher.supervise(path, signals)
 }
 
 // limitRuntime sets the limits of the Go runtime by those of the configuration.
@@ -132,15 +132,15 @@
 	return errors.Is(err, syscall.EADDRINUSE) || lifecycle.IsTransient(err)
 }
 
-// handleSignals handles signals until the loop has ended, and returns the exit code.
-func (d *Dispatcher) handleSignals(path string, signals *lifecycle.Signals) int {
+// supervise handles signals and retries reloads until the loop has ended, and returns the exit code.
+func (d *Dispatcher) supervise(path string, signals *lifecycle.Signals) int {
 	reload := lifecycle.Reloader{
 		Reload:     func() error { return d.reloadFrom(path) },
-		LogFailure: func(err error) { d.logger.Error().Err(err).Msg(reloadFailedMessage) },
+		LogFailure: func(err error) { d.log.Error().Err(err).Msg(reloadFailedMessage) },
 	}
 	for {
 		select {
-		case err := <-d.loopDone:
+		case err := <-d.loopEnded:
 			return d.exitCode(err)
 		case <-signals.Stop:
 			d.Loop.Post(d.Stop)
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -62,9 +62,9 @@
 // runOnce runs a dispatcher's loop until it ends, which is at once.
 func runOnce(t *testing.T, dispatcher *Dispatcher) {
 	t.Helper()
-	go func() { dispatcher.loopDone <- dispatcher.Loop.Run() }()
+	go func() { dispatcher.loopEnded <- dispatcher.Loop.Run() }()
 	dispatcher.Loop.Stop()
-	if err := <-dispatcher.loopDone; err != nil {
+	if err := <-dispatcher.loopEnded; err != nil {
 		t.Error(err)
 	}
 }
