--- a/internal/platform/config_file.go
+++ b/internal/platform/config_file.go
@@ -135,7 +135,10 @@
 
 // checkNumbers checks the numbers that only the gateway reads.
 func (f *ConfigFile) checkNumbers() error {
-	for _, name := range []string{"limits.open_cap", "limits.connect_timeout", "limits.conn_idle", "limits.streams_per_conn", "models.order_timeout"} {
+	names := []string{
+		"limits.open_cap", "limits.connect_timeout", "limits.conn_idle", "limits.streams_per_conn", "models.order_timeout",
+	}
+	for _, name := range names {
 		value, present := f.settingValues[name]
 		if !present {
 			continue
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -15,7 +15,13 @@
 
 // stopTimes are the platform's: clients connect for ClientArrivalSpan after SIGTERM, and the process is killed KillDelay
 // after the longest deadline of a request.
-var stopTimes = lifecycle.StopTimes{ClientArrivalSpan: 0.6, MaxServeSpan: 0.75, MaxDeadline: 3, KillDelay: 0.7, KillMargin: 0.15}
+var stopTimes = lifecycle.StopTimes{
+	ClientArrivalSpan: 0.6,
+	MaxServeSpan:      0.75,
+	MaxDeadline:       3,
+	KillDelay:         0.7,
+	KillMargin:        0.15,
+}
 
 // Dispatcher is a dispatcher on the platform. Its methods are to be called on the loop's goroutine.
 type Dispatcher struct {
@@ -54,8 +60,9 @@
 		loop.Close()
 		return nil, err
 	}
-	dispatcher.watch = newWatchClient(dispatcher.Gateway, file.drainGrace(), dispatcher.clients.countDrop, dispatcher.clients.workers.resumeSends)
-	dispatcher.clients.sendsHeld = func() bool { return dispatcher.watch.sendsHeld }
+	clients := dispatcher.clients
+	dispatcher.watch = newWatchClient(dispatcher.Gateway, file.drainGrace(), clients.countDrop, clients.workers.resumeSends)
+	clients.sendsHeld = func() bool { return dispatcher.watch.sendsHeld }
 	dispatcher.stopTimer.Fire = func() { dispatcher.Gateway.Stop(dispatcher.answerBy - loop.Now()) }
 	dispatcher.dropLogTimer.Fire = dispatcher.logDrops
 	loop.Defer(func() { dispatcher.watchChangeLog(file) })
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -19,12 +19,23 @@
 )
 
 const (
-	configPathVariable     = "LB_CONFIG" // environment variable with the path of the configuration file
-	listenRetrySpan        = 20.0        // s for which a start is retried while the previous process holds the address or the machine lacks a resource
-	maxListenRetryDelay    = 0.02        // s between these retries at most: clients connect as soon as the previous process has ended
-	transientReadRetrySpan = 8.0         // s for which a start waits for a configuration that cannot be read now: it must be ready within 10
-	invalidReadRetrySpan   = 1.0         // s for which a start waits for a configuration that is invalid: it may be half written
-	gcPercent              = 50          // below Go's default: the heap's limit is near
+	configPathVariable = "LB_CONFIG" // environment variable with the path of the configuration file
+	gcPercent          = 50          // below Go's default: the heap's limit is near
+)
+
+// Times in seconds of the retries of a start.
+const (
+	// listenRetrySpan is how long a start is retried while the previous process holds the address or the machine lacks a
+	// resource.
+	listenRetrySpan = 20.0
+	// maxListenRetryDelay is the longest delay between these retries: clients connect as soon as the previous process has
+	// ended.
+	maxListenRetryDelay = 0.02
+	// transientReadRetrySpan is how long a start waits for a configuration that cannot be read for the moment. The
+	// dispatcher must be ready within 10 s.
+	transientReadRetrySpan = 8.0
+	// invalidReadRetrySpan is how long a start waits for a configuration that is invalid: it may be half written.
+	invalidReadRetrySpan = 1.0
 )
 
 const reloadFailedMessage = "configuration not reloaded; previous configuration stays in force"
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -160,18 +160,20 @@
 	if len(c.transport.queue) > 0 {
 		c.transport.scheduleDrain()
 	}
-	fields := gateway.WorkerResponse{
+	workerResponse := gateway.WorkerResponse{
 		Result:            response.Result,
 		ModelState:        response.ModelState,
 		SameModelInFlight: -1,
 		Replicas:          response.Replicas,
 	}
-	fields.LoadReportLen = workerproto.ReadLoadReport(response.LoadReport, c.transport.pool.loadReportFields, fields.LoadReport[:], thrift.ParseDecimal)
+	fieldNames := c.transport.pool.loadReportFields
+	values := workerResponse.LoadReport[:]
+	workerResponse.LoadReportLen = workerproto.ReadLoadReport(response.LoadReport, fieldNames, values, thrift.ParseDecimal)
 	if call.attempt != nil {
-		call.attempt.Response = fields
+		call.attempt.Response = workerResponse
 		call.attempt.ResponseBody = append(call.attempt.ResponseBody[:0], response.Body...)
 	} else {
-		call.controlCall.Response = fields
+		call.controlCall.Response = workerResponse
 	}
 	call.finish(response.Result)
 }
--- a/internal/platform/worker_send.go
+++ b/internal/platform/worker_send.go
@@ -45,7 +45,8 @@
 		accepted := call.attempt.Request
 		request := accepted.Responder.(*clientRequest)
 		timeoutMS := rules.WorkerDeadlineMillis(now, accepted.Deadline())
-		return workerproto.AppendInvoke(buf, tag, request.group, []byte(accepted.Model().Name), request.idempotencyKey, timeoutMS, request.body), true
+		model := []byte(accepted.Model().Name)
+		return workerproto.AppendInvoke(buf, tag, request.group, model, request.idempotencyKey, timeoutMS, request.body), true
 	}
 	controlCall := call.controlCall
 	switch controlCall.Kind {
--- a/internal/workerproto/response.go
+++ b/internal/workerproto/response.go
@@ -1,6 +1,6 @@
-// Package workerproto reads and writes the platform's worker protocol on byte slices. A message is a line of tokens, separated by
-// single spaces, that ends in CR LF. If the last token is a length, a body of that many bytes and another CR LF follow. The package does no I/O and
-// has no clock. What it returns points into the slices that it was given.
+// Package workerproto reads and writes the platform's worker protocol on byte slices. A message is a line of tokens,
+// separated by single spaces, that ends in CR LF. If the last token is a length, a body of that many bytes and another
+// CR LF follow. The package does no I/O and has no clock. What it returns points into the slices that it was given.
 package workerproto
 
 import (
