--- a/control/admission.go
+++ b/control/admission.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const answerMarginMin = 0.02 // s reserved of the client's time, on top of two ticks: two sweeps
+const minResponseMargin = 0.02 // s reserved of the client's time, on top of two ticks: two sweeps
 
 // RequestArrived admits a request: it is placed, held or answered at once.
 func (d *Dispatcher) RequestArrived(arrival Request) {
@@ -26,7 +26,7 @@
 	}
 	d.retryBudget.earn()
 	d.loadBudget.countRequest(d.now)
-	if d.now >= d.answerBy(req) {
+	if d.now >= d.respondBy(req) {
 		d.giveUp(req) // its time ran out before it arrived, as after a stall: the next sweep would be too late
 		return
 	}
@@ -37,7 +37,7 @@
 func (d *Dispatcher) requestedModel(arrival Request, group *modelGroup) *model {
 	requested := d.models.byID[arrival.Model]
 	if requested == nil {
-		d.models.evict(modelsMax, &d.inFlight)
+		d.models.evict(maxModels, &d.inFlight)
 		requested = &model{id: arrival.Model, group: group, runTime: group.runTime, loadTime: group.loadTime}
 		d.models.byID[arrival.Model] = requested
 	}
@@ -50,11 +50,11 @@
 // isHint reports whether a duration in a request is usable: the wire sends 0 where it is unknown.
 func isHint(hint Seconds) bool { return hint > 0 && hint < never }
 
-// answerBy returns when a request must have its final answer from this dispatcher, before the client's deadline.
-func (d *Dispatcher) answerBy(req *request) Seconds { return req.deadline - d.answerMargin() }
+// respondBy returns when a request must have its final answer from this dispatcher, before the client's deadline.
+func (d *Dispatcher) respondBy(req *request) Seconds { return req.deadline - d.responseMargin() }
 
-// answerMargin returns how long before the deadline the final answer is sent.
-func (d *Dispatcher) answerMargin() Seconds { return answerMarginMin + 2*d.tick }
+// responseMargin returns how long before the deadline the final answer is sent.
+func (d *Dispatcher) responseMargin() Seconds { return minResponseMargin + 2*d.tick }
 
 // giveUp answers a request for good, at once: rejected where a repeat is harmless, else failed.
 func (d *Dispatcher) giveUp(req *request) {
@@ -79,7 +79,7 @@
 // admits reports whether a worker may receive an attempt now: one that is warming up within our part of its budget
 // (rule 4), one that is ejected within its recovery ramp, and none that has just rejected requests.
 func (d *Dispatcher) admits(req *request, target *worker) bool {
-	if capacity := d.slowStart.capacityShare(d.now, target.StartedAt); capacity < 1 && !d.admitsWarmingUp(req, target, capacity) {
+	if capacity := d.slowStart.capacityFraction(d.now, target.StartedAt); capacity < 1 && !d.admitsWarmingUp(req, target, capacity) {
 		return false
 	}
 	return target.outlier.admits(d.now, req.group.effect, d.workers.mostEjected()) &&
--- a/control/control.go
+++ b/control/control.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// classesMax bounds the traffic classes counted at each worker, tenants times model groups: more would fill the memory.
-const classesMax = 512
+// maxTrafficClasses bounds the traffic classes counted at each worker, tenants times model groups: more would fill the memory.
+const maxTrafficClasses = 512
 
 var never = math.Inf(1) // a time that does not come, and a duration without end
 
@@ -41,19 +41,19 @@
 
 	// Derived from the settings.
 	tenantClasses  int   // tenants with a traffic class of their own, within each model group
-	ordersLoads    bool  // a miss is answered by a load order
-	probesMax      int   // preferred workers probed for one request
+	requestsLoads  bool  // a miss is answered by a load order
+	maxProbes      int   // preferred workers probed for one request
 	inFlightFields []int // indexes of the load report's values that count requests
 }
 
 // New returns a dispatcher that acts through a and draws chance from the seed. Settings that can't be used are logged.
 func New(seed uint64, from Settings, a Actions) *Dispatcher {
 	s, problems := resolve(from)
-	d := &Dispatcher{settings: s, settingErrors: append(problems.unusable, problems.unknownWords...), actions: a, rnd: newRandom(seed)}
+	d := &Dispatcher{settings: s, settingErrors: append(problems.unusable, problems.unknownModes...), actions: a, rnd: newRandom(seed)}
 	d.workers.byID = map[WorkerID]*worker{}
 	d.models.byID = map[ModelID]*model{}
 	d.inFlight.byID = map[RequestID]int{}
-	d.subscription = newSubscription(s.discovery, s.maxPollInterval)
+	d.subscription = newSubscription(s.discovery, s.maxSubscribeBackoff)
 	d.retryBudget = newRetryBudget()
 	d.loadBudget = loadBudget{window: s.loadBudgetWindow, base: s.loadBudgetBase, perRequest: s.loadBudgetPerRequest}
 	d.slowStart = slowStart{
@@ -63,10 +63,10 @@
 		overloadWindow:  s.overloadWindow,
 		dispatchers:     s.dispatchers,
 	}
-	d.placement.admittingShare = 1
+	d.placement.admittingFraction = 1
 	d.runTime = initialRunTimeAll
-	d.ordersLoads = s.loadsAllowed && s.missPolicy == MissRejects
-	d.probesMax = probesPerRequest(s.probePrice)
+	d.requestsLoads = s.loadsAllowed && s.missPolicy == MissRejects
+	d.maxProbes = probesPerRequest(s.probePrice)
 	d.inFlightFields = reportFieldsInFlight(s.reportFields)
 	for _, g := range s.groups {
 		g.loadTime = initialLoadTime
@@ -75,7 +75,7 @@
 	}
 	d.tenants = newTenantQuotas(s.quotas, s.dispatchers)
 	d.tenantClasses = max(1, len(d.tenants))
-	if len(s.groups)*d.tenantClasses > classesMax {
+	if len(s.groups)*d.tenantClasses > maxTrafficClasses {
 		d.tenantClasses = 1
 	}
 	return d
--- a/control/eviction_test.go
+++ b/control/eviction_test.go
@@ -95,7 +95,7 @@
 		}
 	}
 	l.answerAll()
-	if len(l.d.models.byID) > modelsMax+1 {
+	if len(l.d.models.byID) > maxModels+1 {
 		t.Errorf("%d models are kept", len(l.d.models.byID))
 	}
 }
@@ -117,7 +117,7 @@
 		l.sweep()
 	}
 	l.sweep()
-	if len(l.d.inFlight.slots) > requestTableMin || l.host.refused != shedBefore {
+	if len(l.d.inFlight.slots) > minRequestSlots || l.host.refused != shedBefore {
 		t.Errorf("%d slots of the table after the burst; %d shed", len(l.d.inFlight.slots), l.host.refused-shedBefore)
 	}
 }
--- a/control/held.go
+++ b/control/held.go
@@ -6,17 +6,17 @@
 
 // heldRequests schedules the requests that are held for capacity. The requests themselves are in the request table.
 type heldRequests struct {
-	eventSeen    bool    // an event since retriedAt may have made capacity
-	retriedAt    Seconds // when they were placed again
-	newestTimely Seconds // arrival of the newest that was held and could have met its latency objective
+	capacityMayHaveChanged bool    // an event since retriedAt may have made capacity
+	retriedAt              Seconds // when they were placed again
+	newestTimely           Seconds // arrival of the newest that was held and could have met its latency objective
 }
 
 // takeRetryDue reports whether held requests should be placed again now, and records that they are if so.
 func (h *heldRequests) takeRetryDue(now Seconds) bool {
-	if !h.eventSeen && !(now > h.retriedAt+heldRetryInterval) {
+	if !h.capacityMayHaveChanged && !(now > h.retriedAt+heldRetryInterval) {
 		return false
 	}
-	h.eventSeen = false
+	h.capacityMayHaveChanged = false
 	h.retriedAt = now
 	return true
 }
@@ -26,9 +26,9 @@
 	h.newestTimely = math.Max(h.newestTimely, req.arrivedAt)
 }
 
-// preempts reports whether a held request, younger than the given one, could still meet its latency objective. The
+// shouldPreempt reports whether a held request, younger than the given one, could still meet its latency objective. The
 // older one gives way unless it meets its own: late answers would feed an overload.
-func (h *heldRequests) preempts(req *request, now Seconds) bool {
+func (h *heldRequests) shouldPreempt(req *request, now Seconds) bool {
 	return h.newestTimely > math.Max(req.arrivedAt+preemptAge*req.objective, now-req.objective)
 }
 
@@ -76,9 +76,9 @@
 	}
 }
 
-// holdFutile reports whether the first answer or the load order that requests are held for at a replica is no longer to be
+// holdExpired reports whether the first answer or the load order that requests are held for at a replica is no longer to be
 // expected: its worker is not ready or ejected, or it is far overdue and no load order is outstanding.
-func (d *Dispatcher) holdFutile(target *replica) bool {
+func (d *Dispatcher) holdExpired(target *replica) bool {
 	overdue := d.now >= target.startedAt+hedgeDelay*target.model.loadTime
-	return target.worker.State != Ready || target.worker.outlier.ejected || overdue && !target.ordering()
+	return target.worker.State != Ready || target.worker.outlier.ejected || overdue && !target.loadRequested()
 }
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -1,6 +1,6 @@
 package control
 
-const requestTableMin = 1024 // slots never freed: a sweep over them costs little
+const minRequestSlots = 1024 // slots never freed: a sweep over them costs little
 
 // requestTable holds the requests in flight, in slots that are reused. The order of the slots decides the order in which
 // requests are swept and released.
--- a/control/inflight_test.go
+++ b/control/inflight_test.go
@@ -13,7 +13,7 @@
 			table.remove(table.lookup(id))
 		}
 	}
-	table.shrink(requestTableMin)
+	table.shrink(minRequestSlots)
 	if len(table.slots) != kept || len(table.byID) != kept {
 		t.Fatalf("%d slots and %d requests, want %d", len(table.slots), len(table.byID), kept)
 	}
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -53,7 +53,7 @@
 }
 
 func (l *workLedger) decayedAbandoned(now, runTime Seconds) float64 {
-	return l.abandoned * math.Exp((l.abandonedAt-now)/math.Max(runTime, durationMin))
+	return l.abandoned * math.Exp((l.abandonedAt-now)/math.Max(runTime, minDuration))
 }
 
 // concurrency returns how many own attempts the worker may be running: those that wait for no load, and abandoned ones.
--- a/control/loadbudget.go
+++ b/control/loadbudget.go
@@ -9,8 +9,8 @@
 	base       float64 // orders allowed without any request
 	perRequest float64 // orders allowed for each request
 
-	orders, requests [loadBudgetSlots + 1]float64 // by slot, the oldest first
-	newestSlot       int64                        // number of the last slot, counted from time 0
+	loads, requests [loadBudgetSlots + 1]float64 // by slot, the oldest first
+	newestSlot      int64                        // number of the last slot, counted from time 0
 }
 
 // countRequest records the arrival of a request.
@@ -21,8 +21,8 @@
 	}
 }
 
-// takeOrder reports whether the budget has room for a load order, and records the order if so.
-func (b *loadBudget) takeOrder(now Seconds) bool {
+// admitLoad reports whether the budget has room for a load order, and records the order if so.
+func (b *loadBudget) admitLoad(now Seconds) bool {
 	if b.window <= 0 {
 		return true
 	}
@@ -30,7 +30,7 @@
 	if orders, requests := b.totals(); orders+1 > b.base+b.perRequest*requests {
 		return false
 	}
-	b.orders[loadBudgetSlots]++
+	b.loads[loadBudgetSlots]++
 	return true
 }
 
@@ -38,21 +38,21 @@
 func (b *loadBudget) advance(now Seconds) {
 	current := int64(now / b.window * loadBudgetSlots)
 	for b.newestSlot = max(b.newestSlot, current-loadBudgetSlots-1); b.newestSlot < current; b.newestSlot++ {
-		copy(b.orders[:], b.orders[1:])
+		copy(b.loads[:], b.loads[1:])
 		copy(b.requests[:], b.requests[1:])
-		b.orders[loadBudgetSlots] = 0
+		b.loads[loadBudgetSlots] = 0
 		b.requests[loadBudgetSlots] = 0
 	}
 }
 
 // totals returns what is in the window. Part of the oldest slot has left it already: that slot counts for orders and not
 // for requests, so that the budget errs on the strict side.
-func (b *loadBudget) totals() (orders, requests float64) {
-	for i := range b.orders {
-		orders += b.orders[i]
+func (b *loadBudget) totals() (loads, requests float64) {
+	for i := range b.loads {
+		loads += b.loads[i]
 		if i > 0 {
 			requests += b.requests[i]
 		}
 	}
-	return orders, requests
+	return loads, requests
 }
--- a/control/loadbudget_test.go
+++ b/control/loadbudget_test.go
@@ -9,7 +9,7 @@
 	b := loadBudget{}
 	for range 100 {
 		b.countRequest(1)
-		if !b.takeOrder(1) {
+		if !b.admitLoad(1) {
 			t.Fatal("an order was refused without a limit")
 		}
 	}
@@ -37,7 +37,7 @@
 			requests = append(requests, now)
 			continue
 		}
-		if !b.takeOrder(now) {
+		if !b.admitLoad(now) {
 			refused++
 			continue
 		}
--- a/control/loadreport.go
+++ b/control/loadreport.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	reportWindow    = 10.0 // s in which a load report loses two thirds of its weight; 4 lost 0.03 to 0.07
-	reportSmoothing = 0.5  // weight of a new load report that came with an answer
-	probeCount      = 2    // preferred workers probed before a group opens; 3 was no better, 0 loses
-	probeBudget     = 0.03 // of a request's value, paid at most for its probes: what they gain
-	probeMaxAge     = 0.3  // s for which a load report needs no probe: about what workers take to renew it
+	reportWindow       = 10.0 // s in which a load report loses two thirds of its weight; 4 lost 0.03 to 0.07
+	reportSmoothing    = 0.5  // weight of a new load report that came with an answer
+	probesPerPlacement = 2    // preferred workers probed before a group opens; 3 was no better, 0 loses
+	maxProbeCost       = 0.03 // of a request's value, paid at most for its probes: what they gain
+	maxReportAge       = 0.3  // s for which a load report needs no probe: about what workers take to renew it
 )
 
 // loadReport is the latest load report of a worker.
@@ -19,7 +19,7 @@
 // probesPerRequest returns how many workers may be probed for one request. Fewer are where a probe is priced above what
 // it gains, as all dispatchers pay for theirs.
 func probesPerRequest(price float64) int {
-	return int(math.Min(probeCount, probeBudget/math.Max(ratioMin*probeBudget, price)))
+	return int(math.Min(probesPerPlacement, maxProbeCost/math.Max(minRatio*maxProbeCost, price)))
 }
 
 // reportFieldsInFlight returns which values of a load report count requests in flight. Those queued at the worker count
@@ -38,15 +38,15 @@
 // know their load and no recent report does. It reports whether any is wanted: the request is held for the answers, a
 // sweep or two.
 func (d *Dispatcher) probeCandidates(req *request) bool {
-	if req.probed || req.attempted > 0 || !d.sparseTraffic || len(d.inFlightFields) == 0 || !d.probing {
+	if req.probed || req.attempted > 0 || !d.sparseTraffic || len(d.inFlightFields) == 0 || !d.probesAllowed {
 		return false
 	}
 	candidates := d.placement.candidates
-	eligible := min(len(candidates), max(req.model.preferred, probeCount))
-	for i := range min(eligible, d.probesMax) {
+	eligible := min(len(candidates), max(req.model.preferred, probesPerPlacement))
+	for i := range min(eligible, d.maxProbes) {
 		drawn := i + int(d.rnd.float()*float64(eligible-i))
 		candidates[i], candidates[drawn] = candidates[drawn], candidates[i]
-		if w := candidates[i]; w.report.receivedAt < d.now-probeMaxAge {
+		if w := candidates[i]; w.report.receivedAt < d.now-maxReportAge {
 			d.outbox.probes = append(d.outbox.probes, w)
 			req.probed = true
 		}
@@ -59,7 +59,7 @@
 	if probed := d.workers.byID[result.Worker]; probed != nil && result.Result == Succeeded {
 		d.recordLoadReport(probed, result.LoadReport, 1)
 	}
-	d.held.eventSeen = true
+	d.held.capacityMayHaveChanged = true
 	d.sweep()
 }
 
--- a/control/membership.go
+++ b/control/membership.go
@@ -23,7 +23,7 @@
 	}
 	d.evictWorkers()
 	d.workers.recount()
-	d.held.eventSeen = true
+	d.held.capacityMayHaveChanged = true
 	d.replaceUnsentAttempts()
 	d.sweep()
 }
--- a/control/model.go
+++ b/control/model.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const modelsMax = 2e4 // models held in memory: beyond them the half that was requested longest ago is evicted
+const maxModels = 2e4 // models held in memory: beyond them the half that was requested longest ago is evicted
 
 // modelGroup is a model group: its settings, and estimates over all its models.
 type modelGroup struct {
@@ -37,7 +37,7 @@
 
 // inUse reports whether a load order or a first answer of the model is outstanding.
 func (m *model) inUse() bool {
-	return slices.ContainsFunc(m.replicas, func(r *replica) bool { return r != nil && (r.ordering() || r.loading) })
+	return slices.ContainsFunc(m.replicas, func(r *replica) bool { return r != nil && (r.loadRequested() || r.loading) })
 }
 
 // modelTable holds the models that were requested.
@@ -50,8 +50,8 @@
 func (t *modelTable) forgetWorker(restarted *worker) {
 	for _, m := range t.byID {
 		if restarted.index < len(m.replicas) && m.replicas[restarted.index] != nil {
-			m.replicas[restarted.index].warmUntil = math.Inf(-1)
-			m.replicas[restarted.index].noCapacityUntil = 0
+			m.replicas[restarted.index].loadedUntil = math.Inf(-1)
+			m.replicas[restarted.index].loadRequestBackoffUntil = 0
 		}
 	}
 }
--- a/control/outbox.go
+++ b/control/outbox.go
@@ -2,10 +2,10 @@
 
 // outbox lists what the events of the present moment have changed, for Reconcile to emit.
 type outbox struct {
-	requests   []*request // whose desired state may differ from the actual one
-	loadOrders []*replica
-	probes     []*worker
-	timerSet   bool // the sweep timer is running
+	requests       []*request // whose desired state may differ from the actual one
+	loadRequests   []*replica
+	probes         []*worker
+	sweepScheduled bool // the sweep timer is running
 }
 
 // addRequest lists a request, once.
@@ -19,6 +19,6 @@
 // clear empties the lists, keeping their memory.
 func (o *outbox) clear() {
 	o.requests = o.requests[:0]
-	o.loadOrders = o.loadOrders[:0]
+	o.loadRequests = o.loadRequests[:0]
 	o.probes = o.probes[:0]
 }
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -21,7 +21,7 @@
 		return
 	}
 	target := req.model.replica(ended.worker)
-	d.held.eventSeen = true
+	d.held.capacityMayHaveChanged = true
 	d.updateQueuedWork(ended.worker)
 	req.releaseAttempt(ended, target)
 	ended.state = attemptMayHaveRun
@@ -34,8 +34,8 @@
 		return
 	}
 	if result.Result == ModelNotLoaded {
-		target.markCold()
-		if req.state != stateDone && !result.RequestAnswered && result.ModelState != LoadFailed && d.orderLoad(target) {
+		target.markNotLoaded()
+		if req.state != stateDone && !result.RequestAnswered && result.ModelState != LoadFailed && d.requestLoad(target) {
 			d.holdForLoad(req, target)
 			return
 		}
@@ -60,7 +60,7 @@
 func (d *Dispatcher) recordOutcome(req *request, ended *attempt, result AttemptResult) {
 	if result.Result.FromWorker() {
 		answeredWell := result.Result == Succeeded || result.Result == ModelNotLoaded
-		ended.worker.outlierByClass[req.trafficClass].recordAnswer(d.now, answeredWell)
+		ended.worker.outlierByClass[req.trafficClass].recordResponse(d.now, answeredWell)
 	}
 	d.recordLoadReport(ended.worker, result.LoadReport, reportSmoothing)
 	if result.Attempt > 0 {
@@ -78,7 +78,7 @@
 	d.recordSuccess(&ended.worker.outlier)
 	d.recordSuccess(&ended.worker.outlierByClass[req.trafficClass])
 	if ended.sentAt > ended.worker.StartedAt {
-		target.warmUntil = d.now + d.modelKeepAlive
+		target.loadedUntil = d.now + d.modelKeepAlive
 	}
 	target.finishLoad()
 	d.releaseHeld(target, true)
@@ -101,8 +101,8 @@
 		d.backOff(req, ended)
 	case WorkerError, TimedOut, ConnectFailed, ConnectionReset:
 		if result.ModelState == LoadFailed {
-			target.markCold()
-		} else if result.Result != TimedOut || d.now < d.answerBy(req) {
+			target.markNotLoaded()
+		} else if result.Result != TimedOut || d.now < d.respondBy(req) {
 			d.recordFailure(ended.worker.failureScope(req.trafficClass, ended.sentAt-failureScopeWindow))
 		}
 	}
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -4,31 +4,31 @@
 
 const (
 	failureSmoothing   = 0.2  // weight of one outcome in a failure rate: about the last five count
-	ejectAt            = 0.3  // failure rate at which a worker is ejected: two failures close together
-	recoveryRampStart  = 1.0  // attempts/s admitted after an ejection
-	recoveryRampDone   = 16.0 // attempts/s at which the ejection ends: four doublings
+	ejectionThreshold  = 0.3  // failure rate at which a worker is ejected: two failures close together
+	initialRampRate    = 1.0  // attempts/s admitted after an ejection
+	finalRampRate      = 16.0 // attempts/s at which the ejection ends: four doublings
 	failureScopeWindow = 5.0  // s before an attempt in which a good answer to other traffic shows that the worker itself is well
-	rejectBackoffMin   = 0.05 // s without new requests after a worker rejected one; doubles until it answers
-	rejectBackoffMax   = 0.5  // s, the longest backoff
+	minRejectBackoff   = 0.05 // s without new requests after a worker rejected one; doubles until it answers
+	maxRejectBackoff   = 0.5  // s, the longest backoff
 )
 
 // outlierDetector judges one scope by the outcomes of attempts: a worker, or one traffic class at a worker. It ejects the
 // scope by its failure rate, readmits it by a recovery ramp that doubles with each success, and backs off after rejections.
 type outlierDetector struct {
-	failureRate   float64 // smoothed share of attempts that failed for reasons of the scope itself
-	ejected       bool
-	rampRate      float64 // attempts/s admitted while ejected
-	nextAttemptAt Seconds // no attempt before then while ejected
-	rejectedUntil Seconds // no new request before then: the scope rejected some
-	rejections    float64 // rejections since the last success
-	answeredAt    Seconds // time of the last answer
-	answeredWell  bool    // the last answer was not an error
+	failureRate       float64 // smoothed share of attempts that failed for reasons of the scope itself
+	ejected           bool
+	rampRate          float64 // attempts/s admitted while ejected
+	nextAttemptAt     Seconds // no attempt before then while ejected
+	rejectedUntil     Seconds // no new request before then: the scope rejected some
+	rejections        float64 // rejections since the last success
+	respondedAt       Seconds // time of the last answer
+	responseSucceeded bool    // the last answer was not an error
 }
 
-// recordAnswer records that the worker itself answered, and whether without an error.
-func (o *outlierDetector) recordAnswer(now Seconds, well bool) {
-	o.answeredAt = now
-	o.answeredWell = well
+// recordResponse records that the worker itself answered, and whether without an error.
+func (o *outlierDetector) recordResponse(now Seconds, well bool) {
+	o.respondedAt = now
+	o.responseSucceeded = well
 }
 
 // recordSuccess lowers the failure rate and, while the scope is ejected, doubles the recovery ramp.
@@ -36,26 +36,26 @@
 	o.failureRate -= failureSmoothing * o.failureRate
 	o.rejections = 0
 	o.rampRate = 2 * o.rampRate
-	if o.ejected && o.rampRate >= recoveryRampDone {
+	if o.ejected && o.rampRate >= finalRampRate {
 		o.ejected = false
-		o.failureRate = ejectAt / 2 // one more failure ejects it again
+		o.failureRate = ejectionThreshold / 2 // one more failure ejects it again
 	}
 }
 
 // recordFailure raises the failure rate and ejects the scope where it is too high. A failure while ejected restarts the ramp.
 func (o *outlierDetector) recordFailure(now Seconds) {
 	o.failureRate += failureSmoothing * (1 - o.failureRate)
-	if o.failureRate > ejectAt || o.ejected {
+	if o.failureRate > ejectionThreshold || o.ejected {
 		o.ejected = true
-		o.rampRate = recoveryRampStart
-		o.nextAttemptAt = now + 1/recoveryRampStart
+		o.rampRate = initialRampRate
+		o.nextAttemptAt = now + 1/initialRampRate
 	}
 }
 
 // recordRejection returns until when the scope should receive nothing, by a backoff that doubles with each rejection.
 func (o *outlierDetector) recordRejection(now Seconds) Seconds {
 	o.rejections++
-	return now + math.Min(rejectBackoffMin*math.Exp2(o.rejections-1), rejectBackoffMax)
+	return now + math.Min(minRejectBackoff*math.Exp2(o.rejections-1), maxRejectBackoff)
 }
 
 // admits reports whether the scope may receive an attempt now. A request that must not run twice is not used to find out
@@ -67,7 +67,7 @@
 	if !o.ejected || ignoreEjection {
 		return true
 	}
-	return !(now < o.nextAttemptAt || effect == NonRetriable && o.rampRate <= recoveryRampStart)
+	return !(now < o.nextAttemptAt || effect == NonRetriable && o.rampRate <= initialRampRate)
 }
 
 // chargeAttempt spaces the attempts at an ejected scope, by chance so that the dispatchers do not attempt in step.
@@ -82,8 +82,8 @@
 func (w *worker) failureScope(trafficClass int, since Seconds) *outlierDetector {
 	lastAnswer, answeredWell := since, false
 	for i := range w.outlierByClass {
-		if other := &w.outlierByClass[i]; i != trafficClass && other.answeredAt > lastAnswer {
-			lastAnswer, answeredWell = other.answeredAt, other.answeredWell
+		if other := &w.outlierByClass[i]; i != trafficClass && other.respondedAt > lastAnswer {
+			lastAnswer, answeredWell = other.respondedAt, other.responseSucceeded
 		}
 	}
 	if answeredWell {
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -15,10 +15,10 @@
 	if !o.admits(1, Retriable, true) {
 		t.Error("an ejection that is to be ignored was not")
 	}
-	if !o.admits(1+1/recoveryRampStart, Retriable, false) {
+	if !o.admits(1+1/initialRampRate, Retriable, false) {
 		t.Error("no attempt when the recovery ramp starts")
 	}
-	if o.admits(1+1/recoveryRampStart, NonRetriable, false) {
+	if o.admits(1+1/initialRampRate, NonRetriable, false) {
 		t.Error("a request that must not run twice is used to test a recovery")
 	}
 	successes := 0
@@ -42,8 +42,8 @@
 		}
 	}
 	o.recordSuccess()
-	if until := o.recordRejection(0); until != rejectBackoffMin {
-		t.Errorf("backoff %g s after a success, want %g", until, rejectBackoffMin)
+	if until := o.recordRejection(0); until != minRejectBackoff {
+		t.Errorf("backoff %g s after a success, want %g", until, minRejectBackoff)
 	}
 	o.rejectedUntil = 5
 	if o.admits(4.9, Retriable, true) || !o.admits(5, Retriable, false) {
@@ -58,18 +58,18 @@
 	if w.failureScope(1, 0) != &w.outlier {
 		t.Error("no answer at all: want the whole worker")
 	}
-	w.outlierByClass[1].recordAnswer(5, true)
+	w.outlierByClass[1].recordResponse(5, true)
 	if w.failureScope(1, 0) != &w.outlier {
 		t.Error("an answer of the class itself only: want the whole worker")
 	}
-	w.outlierByClass[0].recordAnswer(6, true)
+	w.outlierByClass[0].recordResponse(6, true)
 	if w.failureScope(1, 0) != &w.outlierByClass[1] {
 		t.Error("another class was answered well: want the class")
 	}
 	if w.failureScope(1, 6) != &w.outlier {
 		t.Error("the answer of the other class is too old: want the whole worker")
 	}
-	w.outlierByClass[2].recordAnswer(7, false)
+	w.outlierByClass[2].recordResponse(7, false)
 	if w.failureScope(1, 0) != &w.outlier {
 		t.Error("the latest answer of another class was an error: want the whole worker")
 	}
--- a/control/placement.go
+++ b/control/placement.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	concurrencyFleet = 24.0 // attempts of all dispatchers in flight at a worker: 12 idled quick workers, 36 was no better
-	concurrencyMin   = 4.0  // own attempts any worker may have in flight: peers' fall by chance; 1 lost with many of them
-	lowPriorityShare = 0.25 // of that limit for requests of little value by now; 0.5 lost in retry storms
-	preemptAge       = 0.25 // of the latency objective: how much younger a held request must be to preempt another
-	tieBand          = 3.0  // load times: costs nearer than that are ties; 1 lost where loads are scarce, 8 too
-	warmTieBand      = 2.0  // run times: costs of warm replicas nearer than that are ties
-	parallelLoads    = 4.0  // loads a worker performs in parallel, which is not reported: 2 idled it, 1 lost
-	workerSlots      = 10.0 // requests a worker runs together, slowed; 4 shed many
-	triedPenalty     = 1e6  // s added to the cost of a worker that was tried: it is chosen only if there is no other
+	fleetConcurrency    = 24.0 // attempts of all dispatchers in flight at a worker: 12 idled quick workers, 36 was no better
+	minConcurrency      = 4.0  // own attempts any worker may have in flight: peers' fall by chance; 1 lost with many of them
+	lowPriorityFraction = 0.25 // of that limit for requests of little value by now; 0.5 lost in retry storms
+	preemptAge          = 0.25 // of the latency objective: how much younger a held request must be to preempt another
+	tieBand             = 3.0  // load times: costs nearer than that are ties; 1 lost where loads are scarce, 8 too
+	loadedTieBand       = 2.0  // run times: costs of warm replicas nearer than that are ties
+	parallelLoads       = 4.0  // loads a worker performs in parallel, which is not reported: 2 idled it, 1 lost
+	workerSlots         = 10.0 // requests a worker runs together, slowed; 4 shed many
+	triedPenalty        = 1e6  // s added to the cost of a worker that was tried: it is chosen only if there is no other
 )
 
 // Flags of the rank of a candidate among ties, above the bits of its hash.
 const (
-	rankWarm        = 1 << 63 // a warm replica before any cold one, also where it has to be waited for
+	rankLoaded      = 1 << 63 // a warm replica before any cold one, also where it has to be waited for
 	rankHasCapacity = 1 << 62
 )
 
 // placement is the state that one search for a worker leaves for the next steps, and for the next search.
 type placement struct {
-	candidates     []*worker // workers that may receive the request; the preferred ones first, in order, after markPreferred
-	number         uint64    // searches so far
-	admittingShare float64   // share of the ready workers that the last search found admitting
+	candidates        []*worker // workers that may receive the request; the preferred ones first, in order, after markPreferred
+	number            uint64    // searches so far
+	admittingFraction float64   // share of the ready workers that the last search found admitting
 }
 
 // place finds a replica for a request: in an open group, or in a new one; or it holds the request until there is one.
 func (d *Dispatcher) place(req *request) {
-	if joined := d.joinOpenGroup(req); joined != nil {
-		joined.group.joined++
+	if joined := d.joinCohort(req); joined != nil {
+		joined.cohort.size++
 		if joined.loading {
 			d.hold(req, joined)
 		} else {
@@ -43,22 +43,22 @@
 		return
 	}
 	switch target := d.leastLoaded(req, false); {
-	case target == nil && req.inFlight == 0 && (req.tooLate || req.unplaceable && req.attempted > 0):
+	case target == nil && req.inFlight == 0 && (req.tooLate || req.noneAllowed && req.attempted > 0):
 		d.giveUp(req)
 	case target == nil || d.probeCandidates(req):
 		d.hold(req, nil)
 	default:
-		target.startGroup(d.now)
+		target.startCohort(d.now)
 		d.dispatch(req, target)
 	}
 }
 
-// joinOpenGroup returns the replica whose open group a request may join, nil if there is none: the group is below its
+// joinCohort returns the replica whose open group a request may join, nil if there is none: the group is below its
 // limit, and own work queued there takes less than a load would. Of several, the one with least own work is returned.
-func (d *Dispatcher) joinOpenGroup(req *request) *replica {
+func (d *Dispatcher) joinCohort(req *request) *replica {
 	var best *replica
 	for _, open := range req.model.listOpenReplicas() {
-		if open.group.joined >= openGroupLimit {
+		if open.cohort.size >= maxCohortSize {
 			continue
 		}
 		on := open.worker
@@ -87,9 +87,9 @@
 // concurrencyLimit returns how many own attempts a worker may have in flight. Requests that can't meet their latency
 // objective any more, or exceed their tenant's quota, leave part of it to the others.
 func (d *Dispatcher) concurrencyLimit(req *request) float64 {
-	limit := max(concurrencyMin, concurrencyFleet/d.dispatchers)
+	limit := max(minConcurrency, fleetConcurrency/d.dispatchers)
 	if req.overQuota || req.clientRetry || d.now+req.model.runTime > req.arrivedAt+req.objective {
-		limit *= lowPriorityShare
+		limit *= lowPriorityFraction
 	}
 	return limit
 }
@@ -114,7 +114,7 @@
 // Such a worker is waited for: if its models were loaded elsewhere they would be loaded twice and evict others, and the
 // fleet would have more to load than before. That harms where a worker stays without capacity for long.
 func (d *Dispatcher) loadBackingOff(requested *model, on *worker) bool {
-	return !on.score.warm && (requested.peek(on).noCapacityUntil > d.now || on.loadBackoffUntil > d.now)
+	return !on.score.loaded && (requested.replicaIfKnown(on).loadRequestBackoffUntil > d.now || on.loadBackoffUntil > d.now)
 }
 
 // scoreQueues sets each worker's cost: the time a request would wait and run there without a load, +Inf where it may not
@@ -122,8 +122,8 @@
 func (d *Dispatcher) scoreQueues(req *request) (backingOff, timely bool) {
 	requested, objectiveAt, latest := req.model, req.arrivedAt+req.objective, req.deadline
 	d.placement.candidates = d.placement.candidates[:0]
-	req.tooLate, req.unplaceable = false, true
-	if d.held.preempts(req, d.now) {
+	req.tooLate, req.noneAllowed = false, true
+	if d.held.shouldPreempt(req, d.now) {
 		latest = math.Min(latest, objectiveAt)
 	}
 	admitting := 0.0
@@ -132,7 +132,7 @@
 		if !d.allowed(req, candidate) {
 			continue
 		}
-		req.unplaceable = false
+		req.noneAllowed = false
 		queue := d.updateQueuedWork(candidate)
 		end := d.now + queue/workerSlots + min(requested.runTime, req.objective)/2
 		timely = timely || end <= objectiveAt
@@ -143,7 +143,7 @@
 			continue
 		}
 		admitting++
-		candidate.score.cost = (queue + requested.runTime) / d.slowStart.capacityShare(d.now, candidate.StartedAt)
+		candidate.score.cost = (queue + requested.runTime) / d.slowStart.capacityFraction(d.now, candidate.StartedAt)
 		// A quick error must not make a worker appear idle: its failures count as work to be repeated.
 		failureRate := max(candidate.outlier.failureRate, candidate.outlierByClass[req.trafficClass].failureRate)
 		candidate.score.cost += failureRate * (requested.loadTime + req.objective)
@@ -153,7 +153,7 @@
 		candidate.score.rank = preferenceRank(requested.id, candidate.ID)
 		d.placement.candidates = append(d.placement.candidates, candidate)
 	}
-	d.placement.admittingShare = math.Min(1, math.Max(admitting, 1)/math.Max(1, float64(d.workers.ready)))
+	d.placement.admittingFraction = math.Min(1, math.Max(admitting, 1)/math.Max(1, float64(d.workers.ready)))
 	return backingOff, timely
 }
 
@@ -167,7 +167,7 @@
 func (d *Dispatcher) markPreferred(requested *model) {
 	scratch := &d.placement
 	if d.sparseTraffic {
-		scratch.candidates = topRanked(scratch.candidates, max(requested.preferred, probeCount))
+		scratch.candidates = topRanked(scratch.candidates, max(requested.preferred, probesPerPlacement))
 	}
 	scratch.number++
 	if requested.preferred > 1 {
@@ -185,8 +185,8 @@
 		if candidate.score.cost > math.MaxFloat64 {
 			continue
 		}
-		candidate.score.warm = requested.peek(candidate).isWarm(d.now) || candidate.score.preferredAt == d.placement.number
-		if !candidate.score.warm {
+		candidate.score.loaded = requested.replicaIfKnown(candidate).isLoaded(d.now) || candidate.score.preferredAt == d.placement.number
+		if !candidate.score.loaded {
 			candidate.score.cost += requested.loadTime
 			if warmOnly || d.now+candidate.ledger.pendingLoads/parallelLoads > req.deadline {
 				candidate.score.cost = math.Inf(1)
@@ -207,11 +207,11 @@
 			continue
 		}
 		rank := candidate.score.rank >> 2
-		if candidate.score.warm {
+		if candidate.score.loaded {
 			if d.sparseTraffic { // by cost, ties by chance: peers see the same load reports
-				rank = uint64(1e18 / (1 + candidate.score.cost + warmTieBand*requested.runTime*d.rnd.float()))
+				rank = uint64(1e18 / (1 + candidate.score.cost + loadedTieBand*requested.runTime*d.rnd.float()))
 			}
-			rank |= rankWarm
+			rank |= rankLoaded
 		}
 		if candidate.ledger.concurrency(d.now, d.runTime) < limit {
 			rank |= rankHasCapacity
@@ -248,13 +248,13 @@
 	on, requested := target.worker, req.model
 	added := &req.attempts[req.attempted]
 	*added = attempt{
-		worker:      on,
-		sentAt:      d.now,
-		runTime:     requested.runTime,
-		expected:    on.ledger.queued + requested.runTime,
-		groupNumber: target.group.number,
+		worker:       on,
+		sentAt:       d.now,
+		runTime:      requested.runTime,
+		expected:     on.ledger.queued + requested.runTime,
+		cohortNumber: target.cohort.number,
 	}
-	if !target.isWarm(d.now) {
+	if !target.isLoaded(d.now) {
 		added.loading = true
 		added.expected = added.expected + requested.loadTime + on.ledger.pendingLoads
 	}
--- a/control/popularity.go
+++ b/control/popularity.go
@@ -1,8 +1,8 @@
 package control
 
 const (
-	preferredShare = 0.5  // of a worker's mean traffic that one model may contribute; 0.2 was no better
-	preferredMin   = 30.0 // requests within popularityWindow below which a model's share reveals little
+	preferredFraction = 0.5  // of a worker's mean traffic that one model may contribute; 0.2 was no better
+	minPopularity     = 30.0 // requests within popularityWindow below which a model's share reveals little
 )
 
 // measurePopularity counts a request and sets on how many workers its model should be loaded: on one, or, where own
@@ -10,10 +10,10 @@
 func (d *Dispatcher) measurePopularity(requested *model) {
 	requested.recent.add(d.now)
 	d.arrivals.recent.add(d.now)
-	d.sparseTraffic = d.requestRate() < sparseRate*float64(d.workers.ready)
+	d.sparseTraffic = d.requestRate() < sparseTrafficRate*float64(d.workers.ready)
 	requested.preferred = 1
 	if d.sparseTraffic {
-		share := requested.recent.value * float64(d.workers.ready) / (preferredShare * (d.arrivals.recent.value + preferredMin))
+		share := requested.recent.value * float64(d.workers.ready) / (preferredFraction * (d.arrivals.recent.value + minPopularity))
 		requested.preferred = min(1+int(share), max(1, d.workers.ready/2))
 	}
 }
--- a/control/rate.go
+++ b/control/rate.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	popularityWindow = 20.0 // s, time constant over which requests are counted: popularity lasts about as long
-	sparseRate       = 0.25 // own requests/s per worker below which own counts reveal little about the workers' queues
+	popularityWindow  = 20.0 // s, time constant over which requests are counted: popularity lasts about as long
+	sparseTrafficRate = 0.25 // own requests/s per worker below which own counts reveal little about the workers' queues
 )
 
 // recentCount counts events with exponential decay over popularityWindow.
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -11,8 +11,8 @@
 		d.actions.Log(err.Error() + "; the default is used")
 	}
 	d.settingErrors = nil
-	for _, target := range d.outbox.loadOrders {
-		d.emitLoadOrder(target)
+	for _, target := range d.outbox.loadRequests {
+		d.emitLoadRequest(target)
 	}
 	for _, w := range d.outbox.probes {
 		d.actions.ProbeWorker(w.ID)
@@ -21,17 +21,17 @@
 		d.emitRequest(req)
 	}
 	d.outbox.clear()
-	if !d.outbox.timerSet && (!d.inFlight.empty() || d.subscription.scheduled()) {
-		d.outbox.timerSet = true
+	if !d.outbox.sweepScheduled && (!d.inFlight.empty() || d.subscription.scheduled()) {
+		d.outbox.sweepScheduled = true
 		d.actions.SetTimer(sweepInterval, 0)
 	}
 }
 
-// emitLoadOrder sends a load order, unless its worker has ceased to be ready since it was wanted.
-func (d *Dispatcher) emitLoadOrder(target *replica) {
-	target.orderWanted = false
+// emitLoadRequest sends a load order, unless its worker has ceased to be ready since it was wanted.
+func (d *Dispatcher) emitLoadRequest(target *replica) {
+	target.loadRequestScheduled = false
 	if target.worker.State == Ready {
-		target.orderPending = true
+		target.loadRequestSent = true
 		target.startedAt = d.now
 		d.actions.LoadModel(target.worker.ID, target.model.id, 1)
 	}
@@ -45,7 +45,7 @@
 		d.actions.SendAttempt(req.id, req.latestAttempt().worker.ID, 0)
 		req.state = statePending
 	case stateShed:
-		d.actions.Shed(req.id, math.Min(req.model.loadTime, d.retryAfterMax))
+		d.actions.Shed(req.id, math.Min(req.model.loadTime, d.maxRetryAfter))
 		req.state = stateDone
 	case stateFail:
 		d.actions.Fail(req.id)
@@ -55,7 +55,7 @@
 		return
 	}
 	for i := range req.attempts[:req.attempted] {
-		if req.attempts[i].state == attemptPending && d.cancel && !req.streaming {
+		if req.attempts[i].state == attemptPending && d.cancelAllowed && !req.streaming {
 			d.actions.CancelAttempt(req.id, i)
 		}
 	}
--- a/control/replica.go
+++ b/control/replica.go
@@ -6,51 +6,51 @@
 	"slices"
 )
 
-const openGroupLimit = 8 // requests ever in one open group, as in the paper; 5 and 16 changed nothing at any site
+const maxCohortSize = 8 // requests ever in one open group, as in the paper; 5 and 16 changed nothing at any site
 
-// openGroup is a batch of requests that share one replica. It is open while some of them are unanswered and few have joined.
-type openGroup struct {
-	number     uint32 // of the newest group of the replica
-	unanswered int
-	joined     int // requests ever in it
+// cohort is a batch of requests that share one replica. It is open while some of them are unanswered and few have joined.
+type cohort struct {
+	number      uint32 // of the newest group of the replica
+	outstanding int
+	size        int // requests ever in it
 }
 
 // replica is what this dispatcher knows of one model on one worker, whether or not it is loaded there. It is created with
 // the first group and stays in place, as requests and load orders point to it.
 type replica struct {
-	worker          *worker
-	model           *model
-	warmUntil       Seconds // assumed to be loaded until then
-	noCapacityUntil Seconds // no load order before then: one found no capacity
-	group           openGroup
-	listed          bool // listed in its model's openReplicas
-	held            int  // requests held for its first answer or for a load order
-	inFlight        int  // own attempts for the model on the worker
+	worker                  *worker
+	model                   *model
+	loadedUntil             Seconds // assumed to be loaded until then
+	loadRequestBackoffUntil Seconds // no load order before then: one found no capacity
+	cohort                  cohort
+	listed                  bool // listed in its model's openReplicas
+	held                    int  // requests held for its first answer or for a load order
+	inFlight                int  // own attempts for the model on the worker
 
 	loading   bool    // the first answer of a cold group is outstanding
 	loadCost  Seconds // what the ledger reserves for that load
 	startedAt Seconds // when the load order was sent, or the cold group opened
 
-	orderPending bool // a load order is in flight
-	orderWanted  bool // a load order is to be sent
+	loadRequestSent      bool // a load order is in flight
+	loadRequestScheduled bool // a load order is to be sent
 }
 
 // isOpen reports whether requests are unanswered or held at the replica.
-func (r *replica) isOpen() bool { return r.group.unanswered+r.held > 0 }
+func (r *replica) isOpen() bool { return r.cohort.outstanding+r.held > 0 }
 
-// ordering reports whether a load order is in flight or to be sent.
-func (r *replica) ordering() bool { return r.orderPending || r.orderWanted }
+// loadRequested reports whether a load order is in flight or to be sent.
+func (r *replica) loadRequested() bool { return r.loadRequestSent || r.loadRequestScheduled }
 
-// isWarm reports whether the model is assumed to be loaded.
-func (r *replica) isWarm(now Seconds) bool { return r.warmUntil >= now }
+// isLoaded reports whether the model is assumed to be loaded.
+func (r *replica) isLoaded(now Seconds) bool { return r.loadedUntil >= now }
 
-// markCold records that the model is not loaded.
-func (r *replica) markCold() { r.warmUntil = math.Inf(-1) }
+// markNotLoaded records that the model is not loaded.
+func (r *replica) markNotLoaded() { r.loadedUntil = math.Inf(-1) }
 
-// startGroup starts a new group with one member, and a load where the replica is cold.
-func (r *replica) startGroup(now Seconds) {
-	r.group = openGroup{number: r.group.number + 1, joined: 1}
-	if !r.isWarm(now) && !r.loading {
+// startCohort starts a new group with one member, and a load where the replica is cold.
+func (r *replica) startCohort(now Seconds) {
+	r.cohort = cohort{number: r.cohort.number + 1, size: 1}
+	if !r.isLoaded(now) && !r.loading {
 		r.loading = true
 		r.startedAt = now
 		r.loadCost = r.model.loadTime
@@ -68,7 +68,7 @@
 
 // reserve enters an attempt.
 func (r *replica) reserve() {
-	r.group.unanswered++
+	r.cohort.outstanding++
 	r.inFlight++
 	r.model.listOpen(r)
 }
@@ -76,13 +76,13 @@
 // release takes out an attempt. One of an earlier group leaves the count of the newest alone.
 func (r *replica) release(a *attempt) {
 	r.inFlight--
-	if a.groupNumber == r.group.number && r.group.unanswered > 0 {
-		r.group.unanswered--
+	if a.cohortNumber == r.cohort.number && r.cohort.outstanding > 0 {
+		r.cohort.outstanding--
 	}
 }
 
 // unknownReplica is read in place of a replica of which nothing is known.
-var unknownReplica = replica{warmUntil: math.Inf(-1)}
+var unknownReplica = replica{loadedUntil: math.Inf(-1)}
 
 // replica returns the record of the model on a worker, creating it where there is none.
 func (m *model) replica(on *worker) *replica {
@@ -90,13 +90,13 @@
 		m.replicas = append(m.replicas, nil)
 	}
 	if m.replicas[on.index] == nil {
-		m.replicas[on.index] = &replica{worker: on, model: m, warmUntil: math.Inf(-1)}
+		m.replicas[on.index] = &replica{worker: on, model: m, loadedUntil: math.Inf(-1)}
 	}
 	return m.replicas[on.index]
 }
 
-// peek returns the record of the model on a worker for reading only: unknownReplica where there is none.
-func (m *model) peek(on *worker) *replica {
+// replicaIfKnown returns the record of the model on a worker for reading only: unknownReplica where there is none.
+func (m *model) replicaIfKnown(on *worker) *replica {
 	if on.index < len(m.replicas) && m.replicas[on.index] != nil {
 		return m.replicas[on.index]
 	}
--- a/control/request.go
+++ b/control/request.go
@@ -14,15 +14,15 @@
 
 // attempt is one sending of a request to a worker.
 type attempt struct {
-	worker      *worker
-	sentAt      Seconds
-	expected    Seconds // time to the answer, as expected when it was sent
-	runTime     Seconds // what the ledger reserves for it
-	groupNumber uint32  // the open group of the replica that it joined
-	state       attemptState
-	rejected    bool // the worker rejected it, and its queue is hidden from this dispatcher
-	hedged      bool // a hedged request was considered for it
-	loading     bool // it waits for a load
+	worker       *worker
+	sentAt       Seconds
+	expected     Seconds // time to the answer, as expected when it was sent
+	runTime      Seconds // what the ledger reserves for it
+	cohortNumber uint32  // the open group of the replica that it joined
+	state        attemptState
+	rejected     bool // the worker rejected it, and its queue is hidden from this dispatcher
+	hedged       bool // a hedged request was considered for it
+	loading      bool // it waits for a load
 }
 
 // requestState is the desired state of a request; Reconcile emits the difference to the actual one.
@@ -58,7 +58,7 @@
 	changed      bool // listed in the outbox
 	streaming    bool // the answer has begun to reach the client
 	tooLate      bool // no worker would answer before the deadline
-	unplaceable  bool // the rules admit it to no worker that is listed now
+	noneAllowed  bool // the rules admit it to no worker that is listed now
 	probed       bool // workers were probed for it
 	clientRetry  bool // the client repeats it, so that the latency objective is hardly to be met
 	overQuota    bool // it exceeds its tenant's quota
--- a/control/retry.go
+++ b/control/retry.go
@@ -34,7 +34,7 @@
 // isSilent reports whether an attempt is far overdue at a worker that has answered nothing of its traffic class since.
 // Where it has answered, the request is just a heavy one.
 func (d *Dispatcher) isSilent(req *request, a *attempt) bool {
-	return !(a.worker.outlierByClass[req.trafficClass].answeredAt > a.sentAt ||
+	return !(a.worker.outlierByClass[req.trafficClass].respondedAt > a.sentAt ||
 		d.now-a.sentAt < math.Max(hedgeDelay*a.expected, req.objective/2))
 }
 
@@ -44,7 +44,7 @@
 	if !d.isLost(late) {
 		d.recordFailure(late.worker.failureScope(req.trafficClass, late.sentAt))
 	}
-	if d.hedging {
+	if d.hedgingAllowed {
 		d.retry(req)
 	}
 }
--- a/control/retrybudget.go
+++ b/control/retrybudget.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	retryEarned    = 0.3  // retries earned by each request while all retries succeed
-	retryEarnedMin = 0.03 // retries earned by each request while none does, so that a recovery is noticed
-	retryTokensMax = 30.0 // retries saved up at most: enough for a short outage of one worker
+	retryTokensPerRequest    = 0.3  // retries earned by each request while all retries succeed
+	minRetryTokensPerRequest = 0.03 // retries earned by each request while none does, so that a recovery is noticed
+	maxRetryTokens           = 30.0 // retries saved up at most: enough for a short outage of one worker
 )
 
 // retryBudget limits retries and hedged requests of all requests together. Requests earn tokens, the more of them the more
@@ -15,12 +15,12 @@
 	successRate float64 // smoothed share of recent retries that succeeded
 }
 
-func newRetryBudget() retryBudget { return retryBudget{tokens: retryTokensMax, successRate: 1} }
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens, successRate: 1} }
 
 // earn credits the budget for one request.
 func (b *retryBudget) earn() {
-	earned := retryEarnedMin + (retryEarned-retryEarnedMin)*b.successRate
-	b.tokens = math.Min(retryTokensMax, b.tokens+earned)
+	earned := minRetryTokensPerRequest + (retryTokensPerRequest-minRetryTokensPerRequest)*b.successRate
+	b.tokens = math.Min(maxRetryTokens, b.tokens+earned)
 }
 
 // available reports whether the budget holds a whole token.
--- a/control/retrybudget_test.go
+++ b/control/retrybudget_test.go
@@ -7,7 +7,7 @@
 
 func TestRetryBudget(t *testing.T) {
 	b := newRetryBudget()
-	for range int(retryTokensMax) {
+	for range int(maxRetryTokens) {
 		if !b.available() {
 			t.Fatal("exhausted before its tokens are spent")
 		}
@@ -17,16 +17,16 @@
 		t.Error("more retries than tokens")
 	}
 	b.earn()
-	if math.Abs(b.tokens-retryEarned) > 1e-9 {
-		t.Errorf("earned %g while all retries succeed, want %g", b.tokens, retryEarned)
+	if math.Abs(b.tokens-retryTokensPerRequest) > 1e-9 {
+		t.Errorf("earned %g while all retries succeed, want %g", b.tokens, retryTokensPerRequest)
 	}
 	for range 1000 {
 		b.recordResult(TimedOut)
 	}
 	before := b.tokens
 	b.earn()
-	if earned := b.tokens - before; math.Abs(earned-retryEarnedMin) > 1e-9 {
-		t.Errorf("earned %g while no retry succeeds, want %g", earned, retryEarnedMin)
+	if earned := b.tokens - before; math.Abs(earned-minRetryTokensPerRequest) > 1e-9 {
+		t.Errorf("earned %g while no retry succeeds, want %g", earned, minRetryTokensPerRequest)
 	}
 	rate := b.successRate
 	b.recordResult(Cancelled)
@@ -41,7 +41,7 @@
 	for range 1000 {
 		b.earn()
 	}
-	if b.tokens != retryTokensMax {
-		t.Errorf("%g tokens saved up, want %g", b.tokens, retryTokensMax)
+	if b.tokens != maxRetryTokens {
+		t.Errorf("%g tokens saved up, want %g", b.tokens, maxRetryTokens)
 	}
 }
--- a/control/rules.go
+++ b/control/rules.go
@@ -5,8 +5,8 @@
 
 // allowed reports whether the rules admit a request to a worker now (rules 1 to 3, and the limit on attempts).
 func (d *Dispatcher) allowed(req *request, target *worker) bool {
-	if target.State != Ready || d.now >= d.answerBy(req) || req.streaming ||
-		req.attempted >= d.maxAttempts || req.inFlight > 0 && !d.hedging {
+	if target.State != Ready || d.now >= d.respondBy(req) || req.streaming ||
+		req.attempted >= d.maxAttempts || req.inFlight > 0 && !d.hedgingAllowed {
 		return false
 	}
 	earlier := req.mayHaveRun() // the earliest attempt binds; later ones were sent within its scope
@@ -32,7 +32,7 @@
 
 // withinDedupWindow reports whether a repeat of an attempt that may have run is still dropped within its scope.
 func (d *Dispatcher) withinDedupWindow(req *request, earlier *attempt) bool {
-	return req.group.effect == Deduplicated && d.now <= earlier.sentAt+req.group.dedupWindow-d.answerMargin()
+	return req.group.effect == Deduplicated && d.now <= earlier.sentAt+req.group.dedupWindow-d.responseMargin()
 }
 
 // mayShed reports whether the client may be invited to retry, as a repeat is harmless (rule 2).
--- a/control/settings.go
+++ b/control/settings.go
@@ -10,20 +10,20 @@
 
 // Defaults of settings that are absent.
 const (
-	tickDefault              = 0.001 // s
-	maxPollIntervalDefault   = 10    // s
-	overloadWindowDefault    = 1     // s
-	objectiveDefault         = 1     // s
-	timeoutDefault           = 60    // s; long, but every request is answered in the end
-	slowStartCapacityDefault = 0.1   // share of a worker's capacity just after its start; a cautious estimate
+	defaultTick              = 0.001 // s
+	defaultSubscribeBackoff  = 10    // s
+	defaultOverloadWindow    = 1     // s
+	defaultObjective         = 1     // s
+	defaultTimeout           = 60    // s; long, but every request is answered in the end
+	defaultSlowStartCapacity = 0.1   // share of a worker's capacity just after its start; a cautious estimate
 )
 
 // Bounds of the settings.
 const (
-	dispatchersMax = 1 << 16 // more are taken for a mistake
-	listMax        = 4096    // entries of a list; more are taken for a mistake
-	ratioMin       = 1e-3    // shares and factors: smaller ones would divide by almost zero
-	durationMin    = 1e-3    // s; the clocks of hosts are no finer
+	maxDispatchers = 1 << 16 // more are taken for a mistake
+	maxListLength  = 4096    // entries of a list; more are taken for a mistake
+	minRatio       = 1e-3    // shares and factors: smaller ones would divide by almost zero
+	minDuration    = 1e-3    // s; the clocks of hosts are no finer
 )
 
 // Settings are the settings of a dispatcher. The zero value holds the default of every setting.
@@ -193,45 +193,45 @@
 
 // settings are the resolved settings: checked, with the default in place of each that is absent or unusable.
 type settings struct {
-	tick, maxPollInterval, overloadWindow, slowStartDuration, modelKeepAlive, loadBudgetWindow, retryAfterMax Seconds
-	slowStartCapacity, overloadFactor, loadBudgetBase, loadBudgetPerRequest, dispatchers, probePrice          float64
-	maxAttempts                                                                                               int // attempts of one request
-	hedging, cancel, probing, retryAfter, loadsAllowed                                                        bool
-	discovery                                                                                                 DiscoveryMode
-	missPolicy                                                                                                MissPolicy
-	reportFields                                                                                              []string
-	groups                                                                                                    []*modelGroup
-	quotas                                                                                                    []float64 // of tenants, requests a second
+	tick, maxSubscribeBackoff, overloadWindow, slowStartDuration, modelKeepAlive, loadBudgetWindow, maxRetryAfter Seconds
+	slowStartCapacity, overloadFactor, loadBudgetBase, loadBudgetPerRequest, dispatchers, probePrice              float64
+	maxAttempts                                                                                                   int // attempts of one request
+	hedgingAllowed, cancelAllowed, probesAllowed, retryAfterAllowed, loadsAllowed                                 bool
+	discovery                                                                                                     DiscoveryMode
+	missPolicy                                                                                                    MissPolicy
+	reportFields                                                                                                  []string
+	groups                                                                                                        []*modelGroup
+	quotas                                                                                                        []float64 // of tenants, requests a second
 }
 
 // resolve checks all settings and puts the defaults in place. It runs once, at the start of a dispatcher.
 func resolve(from Settings) (settings, *settingProblems) {
 	p := &settingProblems{malformed: from.malformed}
 	s := settings{
-		tick:                 p.optional("tick", from.Tick, tickDefault, 0, 1),
-		dispatchers:          p.number("dispatchers", from.Dispatchers, 1, 1, dispatchersMax),
-		discovery:            word(p, "discovery", from.Discovery.Mode, discoveryNames[:]),
-		maxPollInterval:      p.span("rules.ask_every", from.Discovery.BackoffMax, maxPollIntervalDefault),
-		overloadWindow:       p.span("rules.fall", from.SlowStart.OverloadWindow, overloadWindowDefault),
+		tick:                 p.optional("tick", from.Tick, defaultTick, 0, 1),
+		dispatchers:          p.number("dispatchers", from.Dispatchers, 1, 1, maxDispatchers),
+		discovery:            knownMode(p, "discovery", from.Discovery.Mode, discoveryNames[:]),
+		maxSubscribeBackoff:  p.span("rules.ask_every", from.Discovery.BackoffMax, defaultSubscribeBackoff),
+		overloadWindow:       p.span("rules.fall", from.SlowStart.OverloadWindow, defaultOverloadWindow),
 		slowStartDuration:    p.number("rules.warm_after", from.SlowStart.Duration, 0, 0, never),
-		slowStartCapacity:    math.Max(ratioMin, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, slowStartCapacityDefault, 0, 1)),
-		overloadFactor:       p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, ratioMin, never),
+		slowStartCapacity:    math.Max(minRatio, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, defaultSlowStartCapacity, 0, 1)),
+		overloadFactor:       p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, minRatio, never),
 		modelKeepAlive:       p.optional("models.keep", from.Loads.KeepAlive, never, 0, never), // until a miss or a restart is seen
 		loadsAllowed:         p.flag("models.orders", from.Loads.Orders),
-		missPolicy:           word(p, "models.on_miss", from.Loads.OnMiss, missNames[:]),
+		missPolicy:           knownMode(p, "models.on_miss", from.Loads.OnMiss, missNames[:]),
 		loadBudgetWindow:     p.number("models.load_window", from.Loads.Window, 0, 0, never),
 		loadBudgetBase:       p.number("models.load_few", from.Loads.Base, 0, 0, never),
 		loadBudgetPerRequest: p.number("models.load_share", from.Loads.PerRequest, 0, 0, never),
 		maxAttempts:          min(maxAttempts, int(p.number("limits.max_attempts", from.Attempts.Max, 1, 1, never))),
-		hedging:              p.flag("limits.hedging", from.Attempts.Hedging),
-		cancel:               p.flag("limits.cancel", from.Attempts.Cancel),
-		probing:              p.flag("limits.probes", from.Probes.Allowed),
-		retryAfter:           p.flag("limits.retry_after", from.RetryAfter.Allowed),
-		retryAfterMax:        p.number("limits.max_retry_after", from.RetryAfter.Max, 0, 0, never),
+		hedgingAllowed:       p.flag("limits.hedging", from.Attempts.Hedging),
+		cancelAllowed:        p.flag("limits.cancel", from.Attempts.Cancel),
+		probesAllowed:        p.flag("limits.probes", from.Probes.Allowed),
+		retryAfterAllowed:    p.flag("limits.retry_after", from.RetryAfter.Allowed),
+		maxRetryAfter:        p.number("limits.max_retry_after", from.RetryAfter.Max, 0, 0, never),
 		probePrice:           p.number("prices.probe", from.Probes.Price, 0, 0, never),
 	}
-	if !s.retryAfter {
-		s.retryAfterMax = 0
+	if !s.retryAfterAllowed {
+		s.maxRetryAfter = 0
 	}
 	s.reportFields = slices.Clone(from.LoadReportFields[:p.length("load_report.fields", len(from.LoadReportFields))])
 	for i := range max(1, p.length("groups", len(from.Groups))) {
@@ -251,7 +251,7 @@
 type settingProblems struct {
 	malformed    map[string]any
 	unusable     []error // reported by Check
-	unknownWords []error // only logged
+	unknownModes []error // only logged
 }
 
 func (p *settingProblems) add(name string, value any, want string) {
@@ -260,12 +260,12 @@
 
 func (p *settingProblems) group(prefix string, from GroupSettings) *modelGroup {
 	return &modelGroup{
-		effect:           word(p, prefix+"effect", from.Effect, effectNames[:]),
-		dedupScope:       word(p, prefix+"scope", from.Scope, scopeNames[:]),
+		effect:           knownMode(p, prefix+"effect", from.Effect, effectNames[:]),
+		dedupScope:       knownMode(p, prefix+"scope", from.Scope, scopeNames[:]),
 		dedupWindow:      p.number(prefix+"window", from.Window, 0, 0, never),
-		objective:        p.span(prefix+"slo", from.SLO.value, objectiveDefault),
+		objective:        p.span(prefix+"slo", from.SLO.value, defaultObjective),
 		objectiveStretch: p.number(prefix+"slo_stretch", from.SLOStretch, 0, 0, never),
-		timeout:          p.span(prefix+"timeout", from.Timeout.value, timeoutDefault),
+		timeout:          p.span(prefix+"timeout", from.Timeout.value, defaultTimeout),
 	}
 }
 
@@ -293,12 +293,12 @@
 
 // span returns seconds by which something is divided or for which something waits.
 func (p *settingProblems) span(name string, value, fallback Seconds) Seconds {
-	return p.number(name, value, fallback, durationMin, never)
+	return p.number(name, value, fallback, minDuration, never)
 }
 
 // length returns the length of a list, 0 where it is malformed or too large.
 func (p *settingProblems) length(name string, length int) int {
-	return int(p.number(name, float64(length), 0, 0, listMax))
+	return int(p.number(name, float64(length), 0, 0, maxListLength))
 }
 
 func (p *settingProblems) flag(name string, value bool) bool {
@@ -309,8 +309,8 @@
 	return value
 }
 
-// word returns one of the modes that known words name, and the first of them in place of an unknown one.
-func word[M ~uint8](p *settingProblems, name string, mode M, known []string) M {
+// knownMode returns one of the modes that known words name, and the first of them in place of an unknown one.
+func knownMode[M ~uint8](p *settingProblems, name string, mode M, known []string) M {
 	value, unknown := p.malformed[name]
 	if int(mode) >= len(known) {
 		value, unknown = uint8(mode), true
@@ -320,6 +320,6 @@
 	}
 	words := slices.Clone(known)
 	slices.Reverse(words) // the default is named last
-	p.unknownWords = append(p.unknownWords, &SettingError{name, value, fmt.Sprintf("one of %q", words)})
+	p.unknownModes = append(p.unknownModes, &SettingError{name, value, fmt.Sprintf("one of %q", words)})
 	return 0
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -77,13 +77,13 @@
 	if len(problems.unusable) > 0 {
 		t.Errorf("a zero is unusable: %v", problems.unusable)
 	}
-	if absent.tick != tickDefault || absent.slowStartCapacity != slowStartCapacityDefault || absent.modelKeepAlive != never || absent.quotas[0] != never {
+	if absent.tick != defaultTick || absent.slowStartCapacity != defaultSlowStartCapacity || absent.modelKeepAlive != never || absent.quotas[0] != never {
 		t.Errorf("absent: %+v", absent)
 	}
-	if zero.tick != 0 || zero.slowStartCapacity != ratioMin || zero.modelKeepAlive != 0 || zero.quotas[0] != 0 {
+	if zero.tick != 0 || zero.slowStartCapacity != minRatio || zero.modelKeepAlive != 0 || zero.quotas[0] != 0 {
 		t.Errorf("zero: %+v", zero)
 	}
-	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].objective != objectiveDefault || zero.groups[0].timeout != timeoutDefault {
+	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].objective != defaultObjective || zero.groups[0].timeout != defaultTimeout {
 		t.Errorf("groups: zero %+v, absent %+v", zero.groups[0], absent.groups[0])
 	}
 }
@@ -94,9 +94,9 @@
 		Tick:             Some(math.NaN()),
 		Discovery:        DiscoverySettings{Mode: 7},
 		Attempts:         AttemptSettings{Max: 0.5},
-		LoadReportFields: make([]string, listMax+1),
+		LoadReportFields: make([]string, maxListLength+1),
 		Groups:           []GroupSettings{{Effect: 3, Scope: 9, SLO: Some(-1.0)}},
-		Tenants:          make([]TenantSettings, listMax+1),
+		Tenants:          make([]TenantSettings, maxListLength+1),
 	})
 	names := func(errs []error) (list []string) {
 		for _, err := range errs {
@@ -111,7 +111,7 @@
 	if want := []string{"tick", "limits.max_attempts", "load_report.fields", "groups.0.slo", "tenants"}; !slices.Equal(unusable, want) {
 		t.Errorf("unusable %q, want %q", unusable, want)
 	}
-	unknown := names(problems.unknownWords)
+	unknown := names(problems.unknownModes)
 	if want := []string{"discovery", "groups.0.effect", "groups.0.scope"}; !slices.Equal(unknown, want) {
 		t.Errorf("unknown %q, want %q", unknown, want)
 	}
--- a/control/settings_values.go
+++ b/control/settings_values.go
@@ -34,7 +34,7 @@
 		Tick:        p.optional("tick"),
 		Dispatchers: p.number("dispatchers"),
 		Discovery: DiscoverySettings{
-			Mode:       DiscoveryMode(p.word("discovery", discoveryNames[:])),
+			Mode:       DiscoveryMode(p.modeIndex("discovery", discoveryNames[:])),
 			BackoffMax: p.number("rules.ask_every"),
 		},
 		SlowStart: SlowStartSettings{
@@ -44,7 +44,7 @@
 			OverloadWindow:  p.number("rules.fall"),
 		},
 		Loads: LoadSettings{
-			OnMiss:     MissPolicy(p.word("models.on_miss", missNames[:])),
+			OnMiss:     MissPolicy(p.modeIndex("models.on_miss", missNames[:])),
 			Orders:     p.flag("models.orders"),
 			KeepAlive:  p.optional("models.keep"),
 			Window:     p.number("models.load_window"),
@@ -99,8 +99,8 @@
 
 func (p *settingsParser) group(prefix string) GroupSettings {
 	return GroupSettings{
-		Effect:     Effect(p.word(prefix+"effect", effectNames[:])),
-		Scope:      DedupScope(p.word(prefix+"scope", scopeNames[:])),
+		Effect:     Effect(p.modeIndex(prefix+"effect", effectNames[:])),
+		Scope:      DedupScope(p.modeIndex(prefix+"scope", scopeNames[:])),
 		Window:     p.number(prefix + "window"),
 		SLO:        p.optional(prefix + "slo"),
 		SLOStretch: p.number(prefix + "slo_stretch"),
@@ -145,15 +145,15 @@
 	case float64:
 		length = value
 	}
-	if length >= 0 && length <= listMax {
+	if length >= 0 && length <= maxListLength {
 		return int(length)
 	}
 	p.reject(name, value)
 	return 0
 }
 
-// word returns the index of a known word, 0 where it is absent or unknown.
-func (p *settingsParser) word(name string, known []string) int {
+// modeIndex returns the index of a known word, 0 where it is absent or unknown.
+func (p *settingsParser) modeIndex(name string, known []string) int {
 	value, present := p.values[name]
 	if !present {
 		return 0
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -14,8 +14,8 @@
 	dispatchers     float64 // which share the budget
 }
 
-// capacityShare returns the share of its capacity that a worker is sure to have.
-func (s *slowStart) capacityShare(now, startedAt Seconds) float64 {
+// capacityFraction returns the share of its capacity that a worker is sure to have.
+func (s *slowStart) capacityFraction(now, startedAt Seconds) float64 {
 	if age := now - startedAt; age < s.duration {
 		return s.initialCapacity + (1-s.initialCapacity)*math.Max(0, age)/s.duration
 	}
@@ -46,7 +46,7 @@
 // rare. Each of them goes there by chance instead, less often when few workers are left to choose. It overloads the worker
 // if one model makes up most of the traffic.
 func (d *Dispatcher) admitsByChance(req *request, target *worker, capacity float64) bool {
-	share := warmupSafety * d.slowStart.overloadFactor * capacity * d.placement.admittingShare
+	share := warmupSafety * d.slowStart.overloadFactor * capacity * d.placement.admittingFraction
 	return !(d.now < target.nextWarmupTurnAt ||
 		hash(uint64(req.id)<<32^uint64(target.ID)) > uint64(share*(1<<53))<<11)
 }
@@ -57,7 +57,7 @@
 	if !d.sparseTraffic {
 		return
 	}
-	if capacity := d.slowStart.capacityShare(d.now, target.StartedAt); capacity < 1 {
+	if capacity := d.slowStart.capacityFraction(d.now, target.StartedAt); capacity < 1 {
 		rate := d.slowStart.overloadFactor * capacity * d.requestRatePerWorker()
 		target.nextWarmupTurnAt = d.now + 2*d.rnd.float()/rate
 	}
--- a/control/subscription.go
+++ b/control/subscription.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-const subscribeBackoffMin = 0.5 // s until the subscription is renewed after a failure; doubles with each further one
+const minSubscribeBackoff = 0.5 // s until the subscription is renewed after a failure; doubles with each further one
 
 // subscription schedules the calls that subscribe to the list of workers, with exponential backoff after failures.
 type subscription struct {
 	dueAt      Seconds // time of the next call, never where none is due
 	backoff    Seconds // delay after the next failure
-	backoffMax Seconds
+	maxBackoff Seconds
 }
 
 // newSubscription returns a subscription that is due at once, or never where changes arrive without one.
 func newSubscription(mode DiscoveryMode, backoffMax Seconds) subscription {
-	s := subscription{backoff: subscribeBackoffMin, backoffMax: backoffMax}
+	s := subscription{backoff: minSubscribeBackoff, maxBackoff: backoffMax}
 	if mode != DiscoverySubscribe {
 		s.dueAt = never
 	}
@@ -23,11 +23,11 @@
 // failed schedules another call after the backoff.
 func (s *subscription) failed(now Seconds) {
 	s.dueAt = now + s.backoff
-	s.backoff = math.Min(2*s.backoff, s.backoffMax)
+	s.backoff = math.Min(2*s.backoff, s.maxBackoff)
 }
 
 // succeeded resets the backoff.
-func (s *subscription) succeeded() { s.backoff = subscribeBackoffMin }
+func (s *subscription) succeeded() { s.backoff = minSubscribeBackoff }
 
 // takeDue reports whether a call is due, and marks it as made if so.
 func (s *subscription) takeDue(now Seconds) bool {
--- a/control/subscription_test.go
+++ b/control/subscription_test.go
@@ -18,7 +18,7 @@
 	}
 	s.succeeded()
 	s.failed(10)
-	if !s.takeDue(10 + subscribeBackoffMin) {
+	if !s.takeDue(10 + minSubscribeBackoff) {
 		t.Error("the backoff was not reset by a success")
 	}
 	if push := newSubscription(DiscoveryPush, 3); push.scheduled() {
--- a/control/sweep.go
+++ b/control/sweep.go
@@ -4,8 +4,8 @@
 
 // TimerFired sweeps the requests in flight.
 func (d *Dispatcher) TimerFired(TimerID) {
-	d.outbox.timerSet = false
-	d.inFlight.shrink(requestTableMin)
+	d.outbox.sweepScheduled = false
+	d.inFlight.shrink(minRequestSlots)
 	d.sweep()
 }
 
@@ -17,19 +17,19 @@
 			continue
 		}
 		switch {
-		case !req.streaming && (d.now >= d.answerBy(req) || req.state == stateHeld && d.attemptsExhausted(req)):
+		case !req.streaming && (d.now >= d.respondBy(req) || req.state == stateHeld && d.attemptsExhausted(req)):
 			d.giveUp(req)
 		case req.state == stateHeld:
-			d.sweepHeld(req, retryHeld)
+			d.retryIfDue(req, retryHeld)
 		default:
 			d.hedgeLateAttempts(req)
 		}
 	}
 }
 
-// sweepHeld places a held request again where it is due, or where what it waits for is not to be expected any more.
-func (d *Dispatcher) sweepHeld(req *request, retryHeld bool) {
-	if req.heldFor == nil && retryHeld || req.heldFor != nil && d.holdFutile(req.heldFor) {
+// retryIfDue places a held request again where it is due, or where what it waits for is not to be expected any more.
+func (d *Dispatcher) retryIfDue(req *request, retryHeld bool) {
+	if req.heldFor == nil && retryHeld || req.heldFor != nil && d.holdExpired(req.heldFor) {
 		req.releaseHold()
 		d.place(req)
 	}
--- a/control/view.go
+++ b/control/view.go
@@ -10,7 +10,7 @@
 	PendingLoads     Seconds // load times of own cold groups
 	FailureRate      float64 // smoothed share of attempts that failed for reasons of the worker
 	Ejected          bool
-	WarmModels       []ModelID // assumed to be loaded now
+	LoadedModels     []ModelID // assumed to be loaded now
 	ReportedInFlight float64   // requests in flight by its load reports
 }
 
@@ -49,8 +49,8 @@
 		ReportedInFlight: w.report.inFlight,
 	}
 	for id, m := range d.models.byID {
-		if m.peek(w).isWarm(d.now) {
-			view.WarmModels = append(view.WarmModels, id)
+		if m.replicaIfKnown(w).isLoaded(d.now) {
+			view.LoadedModels = append(view.LoadedModels, id)
 		}
 	}
 	return view
@@ -67,7 +67,7 @@
 	switch {
 	case req.state == stateDone:
 		view.State = "answered; an attempt is still out"
-	case req.state == stateHeld && req.heldFor != nil && req.heldFor.ordering():
+	case req.state == stateHeld && req.heldFor != nil && req.heldFor.loadRequested():
 		view.State, view.Worker = "held for a load order", req.heldFor.worker.ID
 	case req.state == stateHeld && req.heldFor != nil:
 		view.State, view.Worker = "held for the first answer of a cold group", req.heldFor.worker.ID
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -142,7 +142,7 @@
 		age := g.Loop.Now() - w.Worker.StartedAt
 		s.Age = &age
 	}
-	for _, id := range view.WarmModels {
+	for _, id := range view.LoadedModels {
 		model := g.models.byID[id]
 		if model != nil {
 			s.Warm = append(s.Warm, model.Name)
