--- a/control/quota.go
+++ b/control/quota.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// tenantQuota is a token bucket that measures one tenant's traffic against this dispatcher's part of its quota.
+// tenantQuota is a token bucket for one tenant's requests, filled at this dispatcher's part of the tenant's quota.
 type tenantQuota struct {
 	rate      float64 // requests/s, never for a tenant without a quota
 	tokens    float64 // as of updatedAt
@@ -24,7 +24,7 @@
 	if q.rate == never {
 		return false
 	}
-	depth := math.Max(1, q.rate) // with a rate below one a second the bucket would never hold a whole token
+	depth := math.Max(1, q.rate) // a whole token, also for rates below one per second
 	q.tokens = math.Min(depth, q.tokens+(now-q.updatedAt)*q.rate) - 1
 	q.updatedAt = now
 	over := q.tokens < 0
--- a/control/rate.go
+++ b/control/rate.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	popularityWindow  = 20.0 // s, time constant over which requests are counted: popularity lasts about as long
-	sparseTrafficRate = 0.25 // own requests/s per worker below which own counts reveal little about the workers' queues
+	popularityWindow  = 20.0 // s, time constant over which requests are counted, about as long as a model stays popular
+	sparseTrafficRate = 0.25 // own requests/s per worker below which own attempts show little about the workers' queues
 )
 
 // recentCount counts events with exponential decay over popularityWindow.
@@ -23,18 +23,19 @@
 type arrivalRate struct {
 	recent recentCount
 
-	// The rate is computed once per moment: one placement reads it for each worker.
+	// The rate is cached, as one placement reads it for each worker.
 	cached      float64
 	cachedAt    Seconds
 	cachedCount float64 // the value of recent it was computed from
 }
 
-// perSecond returns the requests per second. Right after the start the window is as long as the dispatcher has been running.
+// perSecond returns the requests per second. Early on, the window is as long as the dispatcher has been running.
 func (a *arrivalRate) perSecond(now Seconds) float64 {
 	if a.cachedAt != now || a.cachedCount != a.recent.value {
 		window := popularityWindow * (1 - math.Exp(-math.Max(1, now)/popularityWindow))
 		a.cached = a.recent.value * math.Exp((a.recent.updatedAt-now)/popularityWindow) / window
-		a.cachedAt, a.cachedCount = now, a.recent.value
+		a.cachedAt = now
+		a.cachedCount = a.recent.value
 	}
 	return a.cached
 }
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// emitLoadRequest sends a load request, unless its worker has ceased to be ready since it was wanted.
+// emitLoadRequest sends a load request, unless its worker has ceased to be ready since it was scheduled.
 func (d *Dispatcher) emitLoadRequest(target *replica) {
 	target.loadRequestScheduled = false
 	if target.worker.State == Ready {
@@ -37,7 +37,8 @@
 	}
 }
 
-// emitRequest sends, rejects or fails a request as desired. One that is done is removed with its last attempt.
+// emitRequest sends, rejects or fails a request as its desired state says. A finished request is removed from the table once
+// no attempt is in flight.
 func (d *Dispatcher) emitRequest(req *request) {
 	req.changed = false
 	switch req.state {
@@ -54,12 +55,19 @@
 	if req.state != stateDone {
 		return
 	}
-	for i := range req.attempts[:req.attempted] {
-		if req.attempts[i].state == attemptPending && d.cancelAllowed && !req.streaming {
-			d.actions.CancelAttempt(req.id, i)
-		}
+	if d.cancelAllowed && !req.streaming {
+		d.cancelAttempts(req)
 	}
 	if req.inFlight == 0 && req.live {
 		d.inFlight.remove(req)
 	}
 }
+
+// cancelAttempts cancels the attempts of a request that are in flight.
+func (d *Dispatcher) cancelAttempts(req *request) {
+	for i := range req.attempts[:req.attempted] {
+		if req.attempts[i].state == attemptPending {
+			d.actions.CancelAttempt(req.id, i)
+		}
+	}
+}
--- a/control/replica.go
+++ b/control/replica.go
@@ -6,39 +6,39 @@
 	"slices"
 )
 
-const maxCohortSize = 8 // requests ever in one open group, as in the paper; 5 and 16 changed nothing at any site
+const maxCohortSize = 8 // requests that ever join one cohort, as in the paper of docs/design.md; 5 and 16 scored the same in the lab
 
 // cohort is a batch of requests that share one replica. It is open while some of them are unanswered and few have joined.
 type cohort struct {
-	number      uint32 // of the newest group of the replica
-	outstanding int
-	size        int // requests ever in it
+	number      uint32 // counts the cohorts of the replica
+	outstanding int    // attempts in flight
+	size        int    // requests that ever joined
 }
 
-// replica is what this dispatcher knows of one model on one worker, whether or not it is loaded there. It is created with
-// the first group and stays in place, as requests and load requests point to it.
+// replica is what this dispatcher knows of one model on one worker, whether or not it is loaded there. It is created on
+// first use and not moved or copied, as requests and load requests point to it.
 type replica struct {
 	worker                  *worker
 	model                   *model
-	loadedUntil             Seconds // assumed to be loaded until then
-	loadRequestBackoffUntil Seconds // no load request before then: one found no capacity
-	cohort                  cohort
-	listed                  bool // listed in its model's openReplicas
-	held                    int  // requests held for its first response or for a load request
-	inFlight                int  // own attempts for the model on the worker
-
-	loading   bool    // the first response of a cold group is outstanding
+	loadedUntil             Seconds // the model is assumed to be loaded until then
+	loadRequestBackoffUntil Seconds // no load request before then, as one failed
+	cohort                  cohort  // the newest one
+	listed                  bool    // listed in its model's openReplicas
+	held                    int     // requests held until it is loaded
+	inFlight                int     // own attempts for the model on the worker
+
+	loading   bool    // a load that an attempt started is outstanding
 	loadCost  Seconds // what the ledger reserves for that load
-	startedAt Seconds // when the load request was sent, or the cold group opened
+	startedAt Seconds // when the load request was sent, or that attempt was scheduled
 
 	loadRequestSent      bool // a load request is in flight
-	loadRequestScheduled bool // a load request is to be sent
+	loadRequestScheduled bool // the next Reconcile is to send a load request
 }
 
-// isOpen reports whether requests are unanswered or held at the replica.
+// isOpen reports whether attempts are outstanding at the replica or requests are held for it.
 func (r *replica) isOpen() bool { return r.cohort.outstanding+r.held > 0 }
 
-// loadRequested reports whether a load request is in flight or to be sent.
+// loadRequested reports whether a load request is in flight or scheduled.
 func (r *replica) loadRequested() bool { return r.loadRequestSent || r.loadRequestScheduled }
 
 // isLoaded reports whether the model is assumed to be loaded.
@@ -47,7 +47,7 @@
 // markNotLoaded records that the model is not loaded.
 func (r *replica) markNotLoaded() { r.loadedUntil = math.Inf(-1) }
 
-// startCohort starts a new group with one member, and a load where the replica is cold.
+// startCohort starts a new cohort with one request, which starts a load if the model is not loaded.
 func (r *replica) startCohort(now Seconds) {
 	r.cohort = cohort{number: r.cohort.number + 1, size: 1}
 	if !r.isLoaded(now) && !r.loading {
@@ -58,7 +58,7 @@
 	}
 }
 
-// finishLoad records that the first response of a cold group has come, or is not awaited any more.
+// finishLoad records that the load that an attempt started has ended, or is no longer expected to.
 func (r *replica) finishLoad() {
 	if r.loading {
 		r.loading = false
@@ -66,14 +66,14 @@
 	}
 }
 
-// reserve enters an attempt.
+// reserve adds an attempt.
 func (r *replica) reserve() {
 	r.cohort.outstanding++
 	r.inFlight++
 	r.model.listOpen(r)
 }
 
-// release takes out an attempt. One of an earlier group leaves the count of the newest alone.
+// release removes an attempt. One of an earlier cohort does not change the newest one.
 func (r *replica) release(a *attempt) {
 	r.inFlight--
 	if a.cohortNumber == r.cohort.number && r.cohort.outstanding > 0 {
@@ -81,35 +81,35 @@
 	}
 }
 
-// unknownReplica is read in place of a replica of which nothing is known.
+// unknownReplica stands for a replica without a record. It is never written.
 var unknownReplica = replica{loadedUntil: math.Inf(-1)}
 
-// replica returns the record of the model on a worker, creating it where there is none.
-func (m *model) replica(on *worker) *replica {
-	for len(m.replicas) <= on.index {
+// replica returns the record of the model on a worker, and creates it if there is none.
+func (m *model) replica(host *worker) *replica {
+	for len(m.replicas) <= host.index {
 		m.replicas = append(m.replicas, nil)
 	}
-	if m.replicas[on.index] == nil {
-		m.replicas[on.index] = &replica{worker: on, model: m, loadedUntil: math.Inf(-1)}
+	if m.replicas[host.index] == nil {
+		m.replicas[host.index] = &replica{worker: host, model: m, loadedUntil: math.Inf(-1)}
 	}
-	return m.replicas[on.index]
+	return m.replicas[host.index]
 }
 
-// replicaIfKnown returns the record of the model on a worker for reading only: unknownReplica where there is none.
-func (m *model) replicaIfKnown(on *worker) *replica {
-	if on.index < len(m.replicas) && m.replicas[on.index] != nil {
-		return m.replicas[on.index]
+// replicaIfKnown returns the record of the model on a worker, unknownReplica if there is none. It is for reading only.
+func (m *model) replicaIfKnown(host *worker) *replica {
+	if host.index < len(m.replicas) && m.replicas[host.index] != nil {
+		return m.replicas[host.index]
 	}
 	return &unknownReplica
 }
 
-// dropReplica forgets the record of the model on a worker.
-func (m *model) dropReplica(on *worker) {
-	if on.index >= len(m.replicas) {
+// dropReplica removes the record of the model on a worker.
+func (m *model) dropReplica(host *worker) {
+	if host.index >= len(m.replicas) {
 		return
 	}
-	m.openReplicas = slices.DeleteFunc(m.openReplicas, func(open *replica) bool { return open.worker == on })
-	m.replicas[on.index] = nil
+	m.openReplicas = slices.DeleteFunc(m.openReplicas, func(open *replica) bool { return open.worker == host })
+	m.replicas[host.index] = nil
 }
 
 // listOpen adds a replica to openReplicas, if it is not listed there.
@@ -124,8 +124,8 @@
 	m.openReplicas = slices.Insert(m.openReplicas, i, opened)
 }
 
-// listOpenReplicas returns the open replicas, in order of worker indexes: few, however many workers there are. Those that
-// are no longer open are taken off the list on this occasion.
+// listOpenReplicas returns the open replicas by worker index, after it has removed from the list those that are no longer
+// open. It is short, however many workers there are.
 func (m *model) listOpenReplicas() []*replica {
 	open := 0
 	for _, listed := range m.openReplicas {
--- a/control/request.go
+++ b/control/request.go
@@ -1,6 +1,6 @@
 package control
 
-// maxAttempts is how many attempts one record can hold.
+// maxAttempts is the number of attempts that a request record can hold.
 const maxAttempts = 8
 
 // attemptState is what is known of an attempt.
@@ -12,16 +12,16 @@
 	attemptMayHaveRun                     // ended, and may have run
 )
 
-// attempt is one sending of a request to a worker.
+// attempt is one transmission of a request to a worker.
 type attempt struct {
 	worker       *worker
 	sentAt       Seconds
-	expected     Seconds // time to the answer, as expected when it was sent
+	expected     Seconds // time until the response, as expected when it was scheduled
 	runTime      Seconds // what the ledger reserves for it
-	cohortNumber uint32  // the open group of the replica that it joined
+	cohortNumber uint32  // number of the replica's cohort that it joined
 	state        attemptState
-	rejected     bool // the worker rejected it, and its queue is hidden from this dispatcher
-	hedged       bool // a hedged request was considered for it
+	rejected     bool // the worker rejected it while traffic was sparse: other workers are tried first
+	hedged       bool // a hedged request was considered, whether or not one was sent
 	loading      bool // it waits for a load
 }
 
@@ -30,7 +30,7 @@
 
 const (
 	stateNew     requestState = iota
-	stateHeld                 // to wait here
+	stateHeld                 // to wait in this dispatcher
 	stateAttempt              // to be sent to the worker of the latest attempt
 	stateShed                 // to be rejected
 	stateFail                 // to be failed
@@ -46,9 +46,9 @@
 	arrivedAt    Seconds
 	deadline     Seconds
 	workHint     Seconds
-	objective    Seconds // latency objective: an answer within it is worth the full value
+	objective    Seconds // latency objective, from the arrival
 	state        requestState
-	heldFor      *replica // the replica whose first response or load request it is held for, nil where for capacity
+	heldFor      *replica // the replica that is to be loaded before it is placed, nil if it waits for capacity
 	attempts     [maxAttempts]attempt
 	attempted    int // attempts made
 	inFlight     int // attempts without an outcome
@@ -58,13 +58,14 @@
 	changed      bool // listed in the outbox
 	streaming    bool // the response has begun to reach the client
 	tooLate      bool // no worker would answer before the deadline
-	noneAllowed  bool // the rules admit it to no worker that is listed now
+	noneAllowed  bool // the rules allow no worker that is listed now
 	probed       bool // workers were probed for it
-	clientRetry  bool // the client repeats it, so that the latency objective is hardly to be met
+	clientRetry  bool // the client retries it, so that the latency objective can hardly be met
 	overQuota    bool // it exceeds its tenant's quota
 }
 
-// tried reports whether an attempt went to the worker, apart from those that found no model there.
+// tried reports whether an attempt was made at a worker, apart from those that never ran there. One that was rejected counts
+// if it is marked so.
 func (r *request) tried(target *worker) bool {
 	for i := range r.attempts[:r.attempted] {
 		if a := &r.attempts[i]; a.worker == target && (a.state != attemptNeverRan || a.rejected) {
@@ -74,7 +75,7 @@
 	return false
 }
 
-// mayHaveRun returns the earliest attempt that may have run or is still in flight, nil if there is none.
+// mayHaveRun returns the earliest attempt that may have run or is in flight, nil if there is none.
 func (r *request) mayHaveRun() *attempt {
 	for i := range r.attempts[:r.attempted] {
 		if r.attempts[i].state != attemptNeverRan {
@@ -87,7 +88,7 @@
 // latestAttempt returns the attempt made last.
 func (r *request) latestAttempt() *attempt { return &r.attempts[r.attempted-1] }
 
-// releaseHold takes a request off the counts of those held.
+// releaseHold ends the hold of a request, if it is held.
 func (r *request) releaseHold() {
 	if r.state != stateHeld {
 		return
@@ -99,7 +100,7 @@
 	r.state = statePending
 }
 
-// releaseAttempt takes an attempt out of the ledgers of its worker, its replica and its request.
+// releaseAttempt removes an attempt from the ledgers of its worker, its replica and its request.
 func (r *request) releaseAttempt(a *attempt, target *replica) {
 	r.inFlight--
 	a.worker.ledger.release(a)
--- a/control/retry.go
+++ b/control/retry.go
@@ -5,40 +5,53 @@
 	"slices"
 )
 
-const hedgeDelay = 3.0 // expected response times until an attempt counts as late: response times spread about as wide
+const hedgeDelay = 3.0 // expected response times after which an attempt counts as late; response times vary about as much
 
-// retry makes another attempt where the rules and the retry budget admit one.
+// retry places a request for another attempt if the rules and the retry budget allow one, and gives it up otherwise unless
+// an attempt is in flight.
 func (d *Dispatcher) retry(req *request) {
-	if d.retryBudget.available() && slices.ContainsFunc(d.workers.all, func(w *worker) bool { return d.allowed(req, w) }) {
+	switch {
+	case d.retryBudget.available() && d.anyAllowed(req):
 		d.retryBudget.spend()
 		d.place(req)
-	} else if req.inFlight == 0 {
+	case req.inFlight == 0:
 		d.giveUp(req)
 	}
 }
 
-// hedgeLateAttempts considers a hedged request for each attempt in flight, until one is wanted.
+// anyAllowed reports whether the rules allow an attempt of a request at some worker.
+func (d *Dispatcher) anyAllowed(req *request) bool {
+	return slices.ContainsFunc(d.workers.all, func(w *worker) bool { return d.allowed(req, w) })
+}
+
+// hedgeLateAttempts considers a hedged request for each late attempt in flight, until one is scheduled.
 func (d *Dispatcher) hedgeLateAttempts(req *request) {
 	for i := 0; i < req.attempted && req.state == statePending && !req.streaming; i++ {
-		if pending := &req.attempts[i]; pending.state == attemptPending && !pending.hedged && (d.isLost(pending) || d.isSilent(req, pending)) {
-			d.hedge(req, pending)
+		candidate := &req.attempts[i]
+		if candidate.state != attemptPending || candidate.hedged {
+			continue
+		}
+		if d.isLost(candidate) || d.isSilent(req, candidate) {
+			d.hedge(req, candidate)
 		}
 	}
 }
 
-// isLost reports whether the worker of an attempt is gone or has started anew since.
+// isLost reports whether the worker of an attempt is gone or has restarted since.
 func (d *Dispatcher) isLost(a *attempt) bool {
 	return a.worker.State == Gone || a.sentAt <= a.worker.StartedAt
 }
 
-// isSilent reports whether an attempt is far overdue at a worker that has answered nothing of its traffic class since.
-// Where it has answered, the request is just a heavy one.
+// isSilent reports whether an attempt is far overdue at a worker that has not responded to its traffic class since. If it
+// has, the request probably takes long by itself.
 func (d *Dispatcher) isSilent(req *request, a *attempt) bool {
-	return !(a.worker.outlierByClass[req.trafficClass].respondedAt > a.sentAt ||
-		d.now-a.sentAt < math.Max(hedgeDelay*a.expected, req.objective/2))
+	hasResponded := a.worker.outlierByClass[req.trafficClass].respondedAt > a.sentAt
+	inTime := d.now-a.sentAt < math.Max(hedgeDelay*a.expected, req.objective/2)
+	return !hasResponded && !inTime
 }
 
-// hedge sends a hedged request for a lost or silent attempt, where that is allowed. Silence counts as a failure.
+// hedge schedules a hedged request for a lost or silent attempt, if that is allowed. A silent one counts as a failure of the
+// worker.
 func (d *Dispatcher) hedge(req *request, late *attempt) {
 	late.hedged = true
 	if !d.isLost(late) {
--- a/control/retrybudget.go
+++ b/control/retrybudget.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	retryTokensPerRequest    = 0.3  // retries earned by each request while all retries succeed
-	minRetryTokensPerRequest = 0.03 // retries earned by each request while none does, so that a recovery is noticed
-	maxRetryTokens           = 30.0 // retries saved up at most: enough for a short outage of one worker
+	retryTokensPerRequest    = 0.3  // tokens that each request earns while all retries succeed
+	minRetryTokensPerRequest = 0.03 // tokens that each request earns while all retries fail, so that a recovery is noticed
+	maxRetryTokens           = 30.0 // most tokens in the budget: enough for a short outage of one worker
 )
 
-// retryBudget limits retries and hedged requests of all requests together. Requests earn tokens, the more of them the more
-// of the recent retries succeeded; each retry spends one.
+// retryBudget limits retries and hedged requests over all requests. Each request earns a fraction of a token, the more the
+// more recent retries succeeded; each retry or hedged request spends one token.
 type retryBudget struct {
 	tokens      float64
-	successRate float64 // smoothed share of recent retries that succeeded
+	successRate float64 // exponential average of the fraction of retries that succeeded
 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens, successRate: 1} }
@@ -29,7 +29,8 @@
 // spend takes one token.
 func (b *retryBudget) spend() { b.tokens-- }
 
-// recordResult records how a retry ended. Cancelled retries and models that were not loaded reveal nothing.
+// recordResult records the outcome of a retry. Cancelled retries and models that were not loaded count as neither a success
+// nor a failure.
 func (b *retryBudget) recordResult(result Result) {
 	switch result {
 	case Succeeded:
--- a/control/rules.go
+++ b/control/rules.go
@@ -1,22 +1,24 @@
 package control
 
-// The rules as the dispatcher plans by them, with a margin and within its own clock. The host checks each action again on
-// its own, in internal/rules; docs/design.md says why the two stay apart.
+// The rules as decisions apply them, with a margin before deadlines. The host checks each action again by internal/rules;
+// docs/design.md explains why the two are kept apart.
 
-// allowed reports whether the rules admit a request to a worker now (rules 1 to 3, and the limit on attempts).
+// allowed reports whether rules 1 to 3 and the limits on attempts allow an attempt of a request at a worker now.
 func (d *Dispatcher) allowed(req *request, target *worker) bool {
-	if target.State != Ready || d.now >= d.respondBy(req) || req.streaming ||
-		req.attempted >= d.maxAttempts || req.inFlight > 0 && !d.hedgingAllowed {
+	if target.State != Ready || d.now >= d.respondBy(req) || req.streaming {
 		return false
 	}
-	earlier := req.mayHaveRun() // the earliest attempt binds; later ones were sent within its scope
+	if req.attempted >= d.maxAttempts || req.inFlight > 0 && !d.hedgingAllowed {
+		return false
+	}
+	earlier := req.mayHaveRun() // the earliest is decisive: later attempts were made within its scope
 	if earlier == nil || req.group.effect == Retriable {
 		return true
 	}
 	return d.withinDedupWindow(req, earlier) && inDedupScope(req.group.dedupScope, earlier.worker, target)
 }
 
-// inDedupScope reports whether a worker drops a repeat of a request that another worker may have run.
+// inDedupScope reports whether the target worker drops a repeat of a request that the earlier one may have run.
 func inDedupScope(scope DedupScope, earlier, target *worker) bool {
 	switch scope {
 	case ScopeAll:
@@ -30,20 +32,25 @@
 	}
 }
 
-// withinDedupWindow reports whether a repeat of an attempt that may have run is still dropped within its scope.
+// withinDedupWindow reports whether workers still drop a repeat of an attempt that may have run.
 func (d *Dispatcher) withinDedupWindow(req *request, earlier *attempt) bool {
 	return req.group.effect == Deduplicated && d.now <= earlier.sentAt+req.group.dedupWindow-d.responseMargin()
 }
 
-// mayShed reports whether the client may be invited to retry, as a repeat is harmless (rule 2).
+// mayShed reports whether a request may be rejected with an invitation to retry, because a repeat is harmless (rule 2).
 func (d *Dispatcher) mayShed(req *request) bool {
+	if req.streaming {
+		return false
+	}
 	earlier := req.mayHaveRun()
-	return !req.streaming && (earlier == nil || req.group.effect == Retriable ||
-		req.group.dedupScope == ScopeAll && d.withinDedupWindow(req, earlier))
+	if earlier == nil || req.group.effect == Retriable {
+		return true
+	}
+	return req.group.dedupScope == ScopeAll && d.withinDedupWindow(req, earlier)
 }
 
-// attemptsExhausted reports whether the rules bar every further attempt for good, at any worker: holding the request
-// would only delay its answer.
+// attemptsExhausted reports whether the rules forbid any further attempt, now and later, so that holding the request would
+// only delay its final response.
 func (d *Dispatcher) attemptsExhausted(req *request) bool {
 	if req.inFlight > 0 {
 		return false
