--- a/control/outcome.go
+++ b/control/outcome.go
@@ -122,7 +122,7 @@
 	if ended.loading && req.model.preferred == 1 {
 		ended.worker.loadBackoffUntil = until
 	} else {
-		scope.rejectedUntil = until
+		scope.backoffUntil = until
 	}
 }
 
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -20,7 +20,7 @@
 	ejected           bool
 	rampRate          float64 // attempts/s admitted while ejected
 	nextAttemptAt     Seconds // no attempt before then while ejected
-	rejectedUntil     Seconds // end of the backoff after rejections
+	backoffUntil      Seconds // end of the backoff after rejections
 	rejections        float64 // rejections since the last success
 	respondedAt       Seconds // time of the last response
 	responseSucceeded bool    // the last response was not an error
@@ -65,7 +65,7 @@
 }
 
 // backingOff reports whether the scope is to receive nothing now because it rejected requests.
-func (o *outlierDetector) backingOff(now Seconds) bool { return now < o.rejectedUntil }
+func (o *outlierDetector) backingOff(now Seconds) bool { return now < o.backoffUntil }
 
 // rampAdmits reports whether the recovery ramp of an ejected scope allows an attempt now. The first attempts show whether
 // the scope has recovered, and are not risked with requests that must not run twice.
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -45,7 +45,7 @@
 	if until := o.recordRejection(0); until != minRejectBackoff {
 		t.Errorf("backoff %g s after a success, want %g", until, minRejectBackoff)
 	}
-	o.rejectedUntil = 5
+	o.backoffUntil = 5
 	if !o.backingOff(4.9) || !o.admits(5, Retriable) {
 		t.Error("the backoff does not end when it should")
 	}
@@ -92,7 +92,7 @@
 			t.Errorf("an ejected worker admits = %t with %d of 3 workers ejected, want %t", !admitted, ejected+1, admitted)
 		}
 	}
-	d.workers.all[0].outlier.rejectedUntil = 2
+	d.workers.all[0].outlier.backoffUntil = 2
 	if d.workerAdmits(req, d.workers.all[0]) {
 		t.Error("a worker that backs off admits a request because most workers are ejected")
 	}
--- a/control/placement.go
+++ b/control/placement.go
@@ -8,8 +8,8 @@
 
 // Where a comment says what other values did, they were compared by their scores in the lab.
 const (
-	fleetConcurrency    = 24.0 // attempts of all dispatchers in flight at a worker; 12 left quick workers idle, 36 scored no better
-	minConcurrency      = 4.0  // own attempts in flight at any worker, however many dispatchers there are; 1 scored less with many
+	fleetConcurrency    = 24.0 // attempts of all dispatchers in flight at a worker; 12 left quick workers idle, 36 gave no more
+	minConcurrency      = 4.0  // own attempts in flight at any worker, however many dispatchers; 1 scored less with many
 	lowPriorityFraction = 0.25 // of that limit, for requests that are late, repeated or over quota; 0.5 scored less in retry storms
 	preemptAge          = 0.25 // of the latency objective: how much younger a held request must be to preempt another
 	tieBand             = 3.0  // load times: costs within that are ties; 1 and 8 scored less where loads are limited
--- a/control/popularity.go
+++ b/control/popularity.go
@@ -2,7 +2,7 @@
 
 const (
 	preferredFraction = 0.5  // of a worker's mean traffic that one model may contribute; 0.2 scored no better in the lab
-	minPopularity     = 30.0 // requests within popularityWindow that are added to the traffic, so that few requests do not show a popular model
+	minPopularity     = 30.0 // requests added to those within popularityWindow: a few requests do not make a model popular
 )
 
 // measurePopularity counts a request, and sets on how many workers its model should be loaded: on one, or, if own traffic is
--- a/control/replica.go
+++ b/control/replica.go
@@ -8,7 +8,8 @@
 
 const maxCohortSize = 8 // requests that ever join one cohort, as in the paper of docs/design.md; 5 and 16 scored the same in the lab
 
-// cohort is a batch of requests that share one replica. It is open while some of them are unanswered and few have joined.
+// cohort is a set of requests for one model that are sent to one replica, an "open group" in docs/design.md. Requests may
+// join it while some of its attempts are outstanding and it is smaller than maxCohortSize.
 type cohort struct {
 	number      uint32 // counts the cohorts of the replica
 	outstanding int    // attempts in flight
--- a/control/settings.go
+++ b/control/settings.go
@@ -8,28 +8,28 @@
 	"strconv"
 )
 
-// Defaults of settings that are absent.
+// Defaults of absent settings.
 const (
 	defaultTick              = 0.001 // s
-	defaultSubscribeBackoff  = 10    // s
+	defaultSubscribeBackoff  = 10    // s, the longest one
 	defaultOverloadWindow    = 1     // s
 	defaultObjective         = 1     // s
-	defaultTimeout           = 60    // s; long, but every request is answered in the end
-	defaultSlowStartCapacity = 0.1   // share of a worker's capacity just after its start; a cautious estimate
+	defaultTimeout           = 60    // s; long, but each request gets a final response in the end
+	defaultSlowStartCapacity = 0.1   // fraction of a worker's capacity just after its start; a cautious estimate
 )
 
 // Bounds of the settings.
 const (
-	maxDispatchers = 1 << 16 // more are taken for a mistake
-	maxListLength  = 4096    // entries of a list; more are taken for a mistake
-	minRatio       = 1e-3    // shares and factors: smaller ones would divide by almost zero
+	maxDispatchers = 1 << 16 // more are a mistake in the settings
+	maxListLength  = 4096    // entries; more are a mistake in the settings
+	minRatio       = 1e-3    // of fractions and factors that others are divided by
 	minDuration    = 1e-3    // s; the clocks of hosts are no finer
 )
 
 // Settings are the settings of a dispatcher. The zero value holds the default of every setting.
 //
-// A number is absent where its field is zero, or where its Optional is unset if zero is a value of its own. A number out of
-// its range has the default and is reported by Check, except a zero, which counts as absent there. Numbers of counts are
+// A number is absent if its field is zero, or, where zero is a meaningful value, if its Optional is unset. A number out of
+// its range is replaced by the default and reported by Check, except a zero, which counts as absent there. Counts are
 // float64, because their sources may hold fractions. The name in brackets is the dotted name under which a SettingError
 // reports the setting.
 type Settings struct {
@@ -60,7 +60,7 @@
 	malformed map[string]any // by dotted name, the values that ParseSettings could not represent in their fields
 }
 
-// DiscoverySettings say how the dispatcher learns of changes to the endpoint list.
+// DiscoverySettings describe how the dispatcher receives changes to the endpoint list.
 type DiscoverySettings struct {
 	// Mode is the discovery mode (discovery).
 	Mode DiscoveryMode
@@ -71,7 +71,7 @@
 
 // SlowStartSettings describe how the capacity of a worker grows after its start, and the overload that makes it fail.
 type SlowStartSettings struct {
-	// InitialCapacity is the share of its full capacity that a worker has at its start, from 0 to 1; 0.1 by default
+	// InitialCapacity is the fraction of its full capacity that a worker has at its start, from 0 to 1; 0.1 by default
 	// (rules.cold_share).
 	InitialCapacity Optional[float64]
 	// Duration is the time from a worker's start until it has its full capacity (rules.warm_after).
@@ -83,19 +83,20 @@
 	OverloadWindow Seconds
 }
 
-// LoadSettings say how models are loaded by workers, and limit the load requests.
+// LoadSettings describe how workers load models, and limit the load requests.
 type LoadSettings struct {
-	// OnMiss says what a worker does with a request whose model it does not hold (models.on_miss).
+	// OnMiss is what a worker does with a request whose model is not loaded there (models.on_miss).
 	OnMiss MissPolicy
 	// Orders allows load requests where workers reject such requests (models.orders).
 	Orders bool
-	// KeepAlive is the time for which a worker keeps a model after its last use; without end by default (models.keep).
+	// KeepAlive is the time for which a worker keeps a model loaded after its last use; unlimited by default (models.keep).
 	KeepAlive Optional[Seconds]
-	// Window is the sliding window of the budget of load requests; 0 for no budget (models.load_window).
+	// Window is the sliding window of the load request budget; 0 for no budget (models.load_window).
 	Window Seconds
 	// Base is the number of load requests that are always allowed within the window (models.load_few).
 	Base float64
-	// PerRequest is the number of load requests allowed on top for each request taken in the window (models.load_share).
+	// PerRequest is the number of load requests allowed on top for each client request that arrived in the window
+	// (models.load_share).
 	PerRequest float64
 }
 
@@ -110,15 +111,15 @@
 	Cancel bool
 }
 
-// ProbeSettings say whether workers are probed for their load, and at what price.
+// ProbeSettings determine whether workers are probed for their load.
 type ProbeSettings struct {
 	// Allowed allows probes (limits.probes).
 	Allowed bool
-	// Price is the cost of a probe as a share of a request's value (prices.probe).
+	// Price is the cost of a probe as a fraction of a request's value (prices.probe).
 	Price float64
 }
 
-// RetryAfterSettings say whether a rejected request carries a Retry-After time.
+// RetryAfterSettings determine whether a rejected request carries a Retry-After time.
 type RetryAfterSettings struct {
 	// Allowed allows a Retry-After time (limits.retry_after).
 	Allowed bool
@@ -126,41 +127,40 @@
 	Max Seconds
 }
 
-// GroupSettings are the promises of a model group.
+// GroupSettings are the settings of a model group.
 type GroupSettings struct {
-	// Effect says what running a request twice does (groups.N.effect).
+	// Effect is the effect of running a request twice (groups.N.effect).
 	Effect Effect
-	// Scope says among which workers a repeat is dropped, where the effect is Deduplicated (groups.N.scope).
+	// Scope is the set of workers among which a repeat is dropped, if the effect is Deduplicated (groups.N.scope).
 	Scope DedupScope
 	// Window is the time for which a repeat is dropped (groups.N.window).
 	Window Seconds
-	// SLO is the latency objective, at least 1 ms; 1 s by default (groups.N.slo). The decisions treat a zero as absent; it
-	// is optional because a host may do otherwise.
+	// SLO is the latency objective, at least 1 ms; 1 s by default (groups.N.slo). This package treats a zero as absent; it
+	// is optional because a host may not.
 	SLO Optional[Seconds]
 	// SLOStretch extends the latency objective by this multiple of a request's own work (groups.N.slo_stretch).
 	SLOStretch float64
-	// Timeout is the time after which a client no longer waits, at least 1 ms; 60 s by default (groups.N.timeout). The
-	// decisions treat a zero as absent; it is optional because a host may do otherwise.
+	// Timeout is the time after which a client no longer waits, at least 1 ms; 60 s by default (groups.N.timeout). This
+	// package treats a zero as absent; it is optional because a host may not.
 	Timeout Optional[Seconds]
 }
 
 // TenantSettings are the settings of a tenant.
 type TenantSettings struct {
-	// Quota is the rate of requests a second through all dispatchers together that the tenant is entitled to; without
-	// limit by default (tenants.N.quota).
+	// Quota is the tenant's quota in requests per second over all dispatchers; unlimited by default (tenants.N.quota).
 	Quota Optional[float64]
 }
 
-// Optional is a value that may be absent. Its zero value is absent.
+// Optional is a value that may be absent. The zero Optional is absent.
 type Optional[T any] struct {
 	value T
 	set   bool
 }
 
-// Some returns an Optional that holds the value.
+// Some returns an Optional that holds a value.
 func Some[T any](value T) Optional[T] { return Optional[T]{value, true} }
 
-// Get returns the value and whether there is one.
+// Get returns the value, and whether there is one.
 func (o Optional[T]) Get() (T, bool) { return o.value, o.set }
 
 // Or returns the value, or the fallback if there is none.
@@ -175,7 +175,7 @@
 type SettingError struct {
 	Name  string // dotted
 	Value any
-	Want  string // describes the usable values
+	Want  string // description of the usable values
 }
 
 // Error names the setting, its value and what it should be.
@@ -183,36 +183,58 @@
 	return fmt.Sprintf("setting %s is %v: it should be %s", e.Name, e.Value, e.Want)
 }
 
-// Check returns an error that joins a SettingError for each unusable setting, nil if there is none. A host that may refuse
-// to start calls it first; New uses the defaults in place of such settings. An unknown word is not reported here: a later
-// platform may have more of them, and the default is the strictest.
+// Check returns an error that joins a SettingError for each unusable setting, nil if there is none. A host that can refuse
+// to start calls it first; New replaces such settings by the defaults. An unknown name of a mode is no error here, as a
+// later platform may add names: New logs it and uses the default mode.
 func Check(s Settings) error {
 	_, problems := resolve(s)
 	return errors.Join(problems.unusable...)
 }
 
-// settings are the resolved settings: checked, with the default in place of each that is absent or unusable.
+// settings are the resolved settings: checked, and with the default in place of each that is absent or unusable. Settings
+// describes them.
 type settings struct {
-	tick, maxSubscribeBackoff, overloadWindow, slowStartDuration, modelKeepAlive, loadBudgetWindow, maxRetryAfter Seconds
-	slowStartCapacity, overloadFactor, loadBudgetBase, loadBudgetPerRequest, dispatchers, probePrice              float64
-	maxAttempts                                                                                                   int // attempts of one request
-	hedgingAllowed, cancelAllowed, probesAllowed, retryAfterAllowed, loadsAllowed                                 bool
-	discovery                                                                                                     DiscoveryMode
-	missPolicy                                                                                                    MissPolicy
-	reportFields                                                                                                  []string
-	groups                                                                                                        []*modelGroup
-	quotas                                                                                                        []float64 // of tenants, requests a second
+	tick        Seconds
+	dispatchers float64
+
+	discovery           DiscoveryMode
+	maxSubscribeBackoff Seconds
+
+	slowStartCapacity float64
+	slowStartDuration Seconds
+	overloadFactor    float64
+	overloadWindow    Seconds
+
+	missPolicy           MissPolicy
+	loadsAllowed         bool
+	modelKeepAlive       Seconds
+	loadBudgetWindow     Seconds
+	loadBudgetBase       float64
+	loadBudgetPerRequest float64
+
+	maxAttempts    int // of one request
+	hedgingAllowed bool
+	cancelAllowed  bool
+
+	probesAllowed     bool
+	probePrice        float64
+	retryAfterAllowed bool
+	maxRetryAfter     Seconds
+
+	reportFields []string
+	groups       []*modelGroup
+	quotas       []float64 // by tenant, requests/s
 }
 
-// resolve checks all settings and puts the defaults in place. It runs once, at the start of a dispatcher.
+// resolve checks all settings, and replaces those that are absent or unusable by the defaults.
 func resolve(from Settings) (settings, *settingProblems) {
 	p := &settingProblems{malformed: from.malformed}
 	s := settings{
 		tick:                 p.optional("tick", from.Tick, defaultTick, 0, 1),
 		dispatchers:          p.number("dispatchers", from.Dispatchers, 1, 1, maxDispatchers),
 		discovery:            knownMode(p, "discovery", from.Discovery.Mode, discoveryNames[:]),
-		maxSubscribeBackoff:  p.span("rules.ask_every", from.Discovery.BackoffMax, defaultSubscribeBackoff),
-		overloadWindow:       p.span("rules.fall", from.SlowStart.OverloadWindow, defaultOverloadWindow),
+		maxSubscribeBackoff:  p.positiveDuration("rules.ask_every", from.Discovery.BackoffMax, defaultSubscribeBackoff),
+		overloadWindow:       p.positiveDuration("rules.fall", from.SlowStart.OverloadWindow, defaultOverloadWindow),
 		slowStartDuration:    p.number("rules.warm_after", from.SlowStart.Duration, 0, 0, never),
 		slowStartCapacity:    math.Max(minRatio, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, defaultSlowStartCapacity, 0, 1)),
 		overloadFactor:       p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, minRatio, never),
@@ -247,11 +269,11 @@
 	return s, p
 }
 
-// settingProblems collects the settings that can't be used while they are resolved.
+// settingProblems collects the settings that can't be used, as resolve finds them.
 type settingProblems struct {
 	malformed    map[string]any
-	unusable     []error // reported by Check
-	unknownModes []error // only logged
+	unusable     []error // Check returns them and New logs them
+	unknownModes []error // New logs them
 }
 
 func (p *settingProblems) add(name string, value any, want string) {
@@ -263,14 +285,14 @@
 		effect:           knownMode(p, prefix+"effect", from.Effect, effectNames[:]),
 		dedupScope:       knownMode(p, prefix+"scope", from.Scope, scopeNames[:]),
 		dedupWindow:      p.number(prefix+"window", from.Window, 0, 0, never),
-		objective:        p.span(prefix+"slo", from.SLO.value, defaultObjective),
+		objective:        p.positiveDuration(prefix+"slo", from.SLO.value, defaultObjective),
 		objectiveStretch: p.number(prefix+"slo_stretch", from.SLOStretch, 0, 0, never),
-		timeout:          p.span(prefix+"timeout", from.Timeout.value, defaultTimeout),
+		timeout:          p.positiveDuration(prefix+"timeout", from.Timeout.value, defaultTimeout),
 	}
 }
 
-// number returns a number within bounds, else the fallback. A zero out of bounds counts as absent: that is how the wire
-// writes it.
+// number returns a number within bounds, else the fallback. A zero out of bounds is no problem: it stands for an absent
+// setting.
 func (p *settingProblems) number(name string, value, fallback, low, high float64) float64 {
 	want := fmt.Sprintf("a number from %g to %g", low, high)
 	if malformed, ok := p.malformed[name]; ok {
@@ -286,13 +308,13 @@
 	return fallback
 }
 
-// optional returns a number of which zero is a value of its own.
+// optional is like number for a setting of which zero is a meaningful value.
 func (p *settingProblems) optional(name string, value Optional[float64], fallback, low, high float64) float64 {
 	return p.number(name, value.Or(fallback), fallback, low, high)
 }
 
-// span returns seconds by which something is divided or for which something waits.
-func (p *settingProblems) span(name string, value, fallback Seconds) Seconds {
+// positiveDuration is like number for a duration that something is divided by or that something waits for.
+func (p *settingProblems) positiveDuration(name string, value, fallback Seconds) Seconds {
 	return p.number(name, value, fallback, minDuration, never)
 }
 
@@ -309,17 +331,17 @@
 	return value
 }
 
-// knownMode returns one of the modes that known words name, and the first of them in place of an unknown one.
-func knownMode[M ~uint8](p *settingProblems, name string, mode M, known []string) M {
+// knownMode returns a mode if it is one of those that have names, and else the first of these.
+func knownMode[M ~uint8](p *settingProblems, name string, mode M, names []string) M {
 	value, unknown := p.malformed[name]
-	if int(mode) >= len(known) {
+	if int(mode) >= len(names) {
 		value, unknown = uint8(mode), true
 	}
 	if !unknown {
 		return mode
 	}
-	words := slices.Clone(known)
-	slices.Reverse(words) // the default is named last
-	p.unknownModes = append(p.unknownModes, &SettingError{name, value, fmt.Sprintf("one of %q", words)})
+	described := slices.Clone(names)
+	slices.Reverse(described) // the default is named last
+	p.unknownModes = append(p.unknownModes, &SettingError{name, value, fmt.Sprintf("one of %q", described)})
 	return 0
 }
--- a/control/settings_values.go
+++ b/control/settings_values.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// SettingValues are settings without types, as an adapter of an untyped source holds them: dotted names to float64, string
-// or bool. The entries of a list stand under their index, and its ListLength under its own name: "groups", "groups.0.slo".
+// SettingValues are untyped settings by their dotted names, each a float64, string, bool or ListLength. The entries of a list
+// are named by their index and its length by the list itself: "groups.0.slo" and "groups".
 type SettingValues map[string]any
 
-// ListLength is the length of a list in SettingValues. A float64 may stand in its place.
+// ListLength is the length of a list in SettingValues. A float64 is accepted in its place.
 type ListLength int
 
-// Number returns a number or the length of a list, the fallback if there is none of that name.
+// Number returns a number or the length of a list by its name, and the fallback if there is none.
 func (v SettingValues) Number(name string, fallback float64) float64 {
 	switch value := v[name].(type) {
 	case float64:
@@ -20,14 +20,14 @@
 	return fallback
 }
 
-// Text returns a string, the empty one if there is none of that name.
+// Text returns a string by its name, and the empty string if there is none.
 func (v SettingValues) Text(name string) string {
 	text, _ := v[name].(string)
 	return text
 }
 
-// ParseSettings returns the typed form of settings without types. Unknown names are left out. A value of another type than
-// its setting's, or an unknown word, leaves its field at the default; Check and New report it.
+// ParseSettings returns the typed form of untyped settings, and ignores unknown names. A value of the wrong type, or an
+// unknown name of a mode, leaves its field at the default; Check and New report it as they do for an unusable setting.
 func ParseSettings(values SettingValues) Settings {
 	p := &settingsParser{values: values}
 	s := Settings{
@@ -70,7 +70,7 @@
 	return s
 }
 
-// settingsParser gives values their types and collects those of another type.
+// settingsParser converts values to the types of their settings, and collects those that it can't convert.
 type settingsParser struct {
 	values    SettingValues
 	malformed map[string]any
@@ -152,14 +152,14 @@
 	return 0
 }
 
-// modeIndex returns the index of a known word, 0 where it is absent or unknown.
-func (p *settingsParser) modeIndex(name string, known []string) int {
+// modeIndex returns the index of a mode's name, 0 if it is absent or unknown.
+func (p *settingsParser) modeIndex(name string, modes []string) int {
 	value, present := p.values[name]
 	if !present {
 		return 0
 	}
-	for i, word := range known {
-		if value == word {
+	for i, mode := range modes {
+		if value == mode {
 			return i
 		}
 	}
--- a/control/subscription.go
+++ b/control/subscription.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-const minSubscribeBackoff = 0.5 // s until the subscription is renewed after a failure; doubles with each further one
+const minSubscribeBackoff = 0.5 // s until the next call after a failure; doubles with each further one
 
-// subscription schedules the calls that subscribe to the list of workers, with exponential backoff after failures.
+// subscription schedules the calls that subscribe to the endpoint list, with exponential backoff after failures.
 type subscription struct {
 	dueAt      Seconds // time of the next call, never where none is due
 	backoff    Seconds // delay after the next failure
 	maxBackoff Seconds
 }
 
-// newSubscription returns a subscription that is due at once, or never where changes arrive without one.
+// newSubscription returns a subscription whose first call is due at once, or never if changes arrive without one.
 func newSubscription(mode DiscoveryMode, backoffMax Seconds) subscription {
 	s := subscription{backoff: minSubscribeBackoff, maxBackoff: backoffMax}
 	if mode != DiscoverySubscribe {
@@ -29,7 +29,7 @@
 // succeeded resets the backoff.
 func (s *subscription) succeeded() { s.backoff = minSubscribeBackoff }
 
-// takeDue reports whether a call is due, and marks it as made if so.
+// takeDue reports whether a call is due, and records it as made if so.
 func (s *subscription) takeDue(now Seconds) bool {
 	if now < s.dueAt {
 		return false
--- a/control/sweep.go
+++ b/control/sweep.go
@@ -1,6 +1,6 @@
 package control
 
-const sweepInterval = 0.01 // s between sweeps: well under any latency objective, and cheap
+const sweepInterval = 0.01 // s between sweeps: a small part of any latency objective, and still cheap
 
 // TimerFired sweeps the requests in flight.
 func (d *Dispatcher) TimerFired(TimerID) {
@@ -9,17 +9,20 @@
 	d.sweep()
 }
 
-// sweep visits all requests in flight: it answers those whose time runs out, places held ones again and hedges late ones.
+// sweep visits all requests in flight: it ends those whose deadline is near, places held ones again, and hedges late
+// attempts.
 func (d *Dispatcher) sweep() {
 	retryHeld := d.held.takeRetryDue(d.now)
 	for _, req := range d.inFlight.slots {
 		if !req.live || req.state != stateHeld && req.state != statePending {
 			continue
 		}
+		isDue := d.now >= d.respondBy(req)
+		isHeld := req.state == stateHeld
 		switch {
-		case !req.streaming && (d.now >= d.respondBy(req) || req.state == stateHeld && d.attemptsExhausted(req)):
+		case !req.streaming && (isDue || isHeld && d.attemptsExhausted(req)):
 			d.giveUp(req)
-		case req.state == stateHeld:
+		case isHeld:
 			d.retryIfDue(req, retryHeld)
 		default:
 			d.hedgeLateAttempts(req)
@@ -27,9 +30,14 @@
 	}
 }
 
-// retryIfDue places a held request again where it is due, or where what it waits for is not to be expected any more.
+// retryIfDue places a held request again: one that waits for capacity if retryHeld is set, and one that waits for a replica
+// if that is no longer expected to be loaded.
 func (d *Dispatcher) retryIfDue(req *request, retryHeld bool) {
-	if req.heldFor == nil && retryHeld || req.heldFor != nil && d.holdExpired(req.heldFor) {
+	due := retryHeld
+	if req.heldFor != nil {
+		due = d.holdExpired(req.heldFor)
+	}
+	if due {
 		req.releaseHold()
 		d.place(req)
 	}
--- a/control/view.go
+++ b/control/view.go
@@ -2,36 +2,37 @@
 
 import "math"
 
-// WorkerView is what a dispatcher assumes of one worker, for operators.
+// WorkerView is a dispatcher's view of one worker, for operators.
 type WorkerView struct {
 	ID               WorkerID
 	InFlight         int     // own attempts in flight
-	QueuedWork       Seconds // run time of those
-	PendingLoads     Seconds // load times of own cold groups
-	FailureRate      float64 // smoothed share of attempts that failed for reasons of the worker
+	QueuedWork       Seconds // their expected run time
+	PendingLoads     Seconds // load times of the loads that own attempts started
+	FailureRate      float64 // exponential average of the fraction of attempts that failed for reasons of the worker
 	Ejected          bool
-	LoadedModels     []ModelID // assumed to be loaded now
-	ReportedInFlight float64   // requests in flight by its load reports
+	LoadedModels     []ModelID // models assumed to be loaded now
+	ReportedInFlight float64   // requests in flight at the worker by its load reports
 }
 
-// RequestView is one request in flight and why it waits.
+// RequestView is a dispatcher's view of one request in flight, for operators.
 type RequestView struct {
 	ID       RequestID
 	Model    ModelID
 	Age      Seconds
-	TimeLeft Seconds // until the client's deadline
-	InFlight int     // attempts in flight
-	State    string
-	Worker   WorkerID // the worker it was sent to or is held for, 0 for none
+	TimeLeft Seconds  // until the client's deadline
+	InFlight int      // attempts in flight
+	State    string   // why it is in flight
+	Worker   WorkerID // the worker that it was sent to or is held for, 0 for none
 }
 
-// View returns what is assumed of the workers, and the requests in flight, at most requestsMax of them. It changes nothing.
-func (d *Dispatcher) View(requestsMax int) (workers []WorkerView, requests []RequestView) {
+// View returns the state of the workers and of the requests in flight, of which it returns at most maxRequests. It changes
+// nothing.
+func (d *Dispatcher) View(maxRequests int) (workers []WorkerView, requests []RequestView) {
 	for _, w := range d.workers.all {
 		workers = append(workers, d.viewWorker(w))
 	}
 	for _, req := range d.inFlight.slots {
-		if req.live && len(requests) < requestsMax {
+		if req.live && len(requests) < maxRequests {
 			requests = append(requests, d.viewRequest(req))
 		}
 	}
@@ -64,19 +65,25 @@
 		TimeLeft: math.Max(0, req.deadline-d.now),
 		InFlight: req.inFlight,
 	}
+	view.State, view.Worker = req.describe()
+	return view
+}
+
+// describe returns why a request is in flight, and the worker that it was sent to or is held for, 0 for none. Operators find
+// the texts in /status.
+func (r *request) describe() (state string, at WorkerID) {
 	switch {
-	case req.state == stateDone:
-		view.State = "answered; an attempt is still out"
-	case req.state == stateHeld && req.heldFor != nil && req.heldFor.loadRequested():
-		view.State, view.Worker = "held for a load order", req.heldFor.worker.ID
-	case req.state == stateHeld && req.heldFor != nil:
-		view.State, view.Worker = "held for the first answer of a cold group", req.heldFor.worker.ID
-	case req.state == stateHeld:
-		view.State = "held for a worker to have room"
-	case req.attempted > 0 && req.inFlight > 0:
-		view.State, view.Worker = "sent to a worker", req.latestAttempt().worker.ID
+	case r.state == stateDone:
+		return "answered; an attempt is still out", 0
+	case r.state == stateHeld && r.heldFor != nil && r.heldFor.loadRequested():
+		return "held for a load order", r.heldFor.worker.ID
+	case r.state == stateHeld && r.heldFor != nil:
+		return "held for the first answer of a cold group", r.heldFor.worker.ID
+	case r.state == stateHeld:
+		return "held for a worker to have room", 0
+	case r.attempted > 0 && r.inFlight > 0:
+		return "sent to a worker", r.latestAttempt().worker.ID
 	default:
-		view.State = "just taken"
+		return "just taken", 0
 	}
-	return view
 }
--- a/control/worker.go
+++ b/control/worker.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// worker is one worker as this dispatcher knows it.
+// worker is what this dispatcher knows of one worker.
 type worker struct {
 	WorkerInfo
-	index            int     // of its replicas in the models' lists
-	goneAt           Seconds // since when it is not listed, +Inf where it is
+	index            int     // of its replica in model.replicas
+	goneAt           Seconds // when it was first seen as gone, +Inf while it is listed
 	ledger           workLedger
 	report           loadReport
 	outlier          outlierDetector
 	outlierByClass   []outlierDetector // by traffic class
-	nextWarmupTurnAt Seconds           // the next attempt fits the slow start budget then, -Inf where no turn is drawn
-	loadBackoffUntil Seconds           // no new load before then: the worker rejected one
+	nextWarmupTurnAt Seconds           // when the slow start budget allows the next attempt, -Inf if no turn is drawn
+	loadBackoffUntil Seconds           // end of the backoff after the worker rejected a load
 	score            placementScore
 }
 
-// placementScore is scratch space of the placement that is under way.
+// placementScore is the worker's result in the latest search for a replica.
 type placementScore struct {
-	cost        Seconds // until the request would be answered, +Inf where it can't be placed here
-	rank        uint64  // order among the preferred workers of the model, shared by all dispatchers
-	loaded      bool    // a loaded replica is assumed here
-	preferredAt uint64  // number of the last placement that had it among the preferred workers
+	cost        Seconds // time until the request would be served, +Inf if it can't be sent here
+	rank        uint64  // preferenceRank of the worker for the model
+	loaded      bool    // the model is assumed to be loaded here, or should be
+	preferredAt uint64  // number of the latest search that preferred this worker
 }
 
-// forgetHistory discards what was learned of a worker that has restarted: it holds no models and has yet to fail.
+// forgetHistory discards the outcomes of attempts at a worker that has restarted.
 func (w *worker) forgetHistory() {
 	clear(w.outlierByClass)
 	w.outlier = outlierDetector{}
@@ -35,17 +35,17 @@
 	w.ledger.abandoned = 0
 }
 
-// workerSet holds the workers that are listed, and for a while those that are no longer.
+// workerSet holds the listed workers, and those that are gone until they are evicted.
 type workerSet struct {
-	all         []*worker // in the order in which they appeared
+	all         []*worker // in the order in which they were first listed
 	byID        map[WorkerID]*worker
-	freeIndexes []int // indexes of workers that were dropped
-	nextIndex   int   // indexes assigned so far
+	freeIndexes []int // indexes of removed workers, to be reused
+	nextIndex   int   // lowest index that was never assigned
 
 	ready, ejected int // counted by recount
 }
 
-// add adds a worker that was listed for the first time.
+// add adds a worker that is listed for the first time.
 func (s *workerSet) add(info WorkerInfo, trafficClasses int) *worker {
 	added := &worker{
 		WorkerInfo:       info,
@@ -60,7 +60,7 @@
 	return added
 }
 
-// remove drops the worker at a position of all; its index is reused.
+// remove removes the worker at a position of all.
 func (s *workerSet) remove(position int) {
 	removed := s.all[position]
 	s.all = slices.Delete(s.all, position, position+1)
@@ -68,7 +68,7 @@
 	s.freeIndexes = append(s.freeIndexes, removed.index)
 }
 
-// allocIndex returns an index for a new worker. Indexes stay small, as each model has a list as long as the largest.
+// allocIndex returns the index of a new worker. Indexes are reused, as each model has a slice as long as the largest one.
 func (s *workerSet) allocIndex() int {
 	if n := len(s.freeIndexes); n > 0 {
 		index := s.freeIndexes[n-1]
@@ -92,5 +92,6 @@
 	}
 }
 
-// mostEjected reports whether more than half of the workers are ejected: the cause is shared then, and no worker an outlier.
+// mostEjected reports whether more than half of the workers are ejected. They probably fail for a common cause then, and none
+// is an outlier.
 func (s *workerSet) mostEjected() bool { return 2*s.ejected > s.ready }
