--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -7,12 +7,12 @@
 	"mastchute/internal/rules"
 )
 
-// Gateway implements control.Actions. The control module calls these methods from Reconcile; none of them calls the module
-// back within the call. SetTimer and Log are in module.go.
+// This file and module.go implement control.Actions. The control module calls these methods from Reconcile; none of them
+// calls the module before it returns.
 
 var _ control.Actions = (*Gateway)(nil)
 
-const lateMargin = 0.1 // s before the deadline from which on a failure is reported as a timeout
+const timeoutMargin = 0.1 // s before the deadline: a request that fails later than that is reported as timed out
 
 // SendAttempt sends a request to a worker, unless a rule forbids it. A timeout of 0 means the client's deadline.
 func (g *Gateway) SendAttempt(id control.RequestID, workerID control.WorkerID, timeout control.Seconds) {
@@ -44,7 +44,7 @@
 	w.transport.SendAttempt(a)
 }
 
-// Shed rejects a request with the promise that a retry is harmless. If a rule forbids that promise, the request fails.
+// Shed rejects a request, so that the client may retry it. If a rule forbids that, the request fails.
 func (g *Gateway) Shed(id control.RequestID, retryAfter control.Seconds) {
 	r := g.findRequest(id)
 	if r == nil || r.Responder == nil {
@@ -52,23 +52,23 @@
 	}
 	if reason := rules.CheckShed(r.shedFacts()); reason != rules.Allowed {
 		g.recordViolation(reason, "shed", r, nil)
-		g.failRequest(r, false, "it may have run")
+		g.failRequest(r, "it may have run")
 		return
 	}
 	g.shedRequest(r, retryAfter)
 }
 
-// Fail ends a request as failed, which promises nothing.
+// Fail fails a request, which leaves open whether it has run.
 func (g *Gateway) Fail(id control.RequestID) {
 	r := g.findRequest(id)
 	if r == nil || r.Responder == nil {
 		return
 	}
-	if g.Loop.Now() > r.deadline-lateMargin {
-		g.failRequest(r, true, "no answer came in time; it may have run")
+	if g.Loop.Now() > r.deadline-timeoutMargin {
+		g.timeOutRequest(r, "no answer came in time; it may have run")
 		return
 	}
-	g.failRequest(r, false, "the workers failed; it may have run")
+	g.failRequest(r, "the workers failed; it may have run")
 }
 
 // CancelAttempt cancels an attempt of a request by its index.
@@ -79,7 +79,7 @@
 	}
 }
 
-// LoadModel orders replicas of a model at a worker, unless a rule forbids it.
+// LoadModel sends a load request for a model to a worker, unless a rule forbids it.
 func (g *Gateway) LoadModel(workerID control.WorkerID, modelID control.ModelID, replicas int) {
 	w := g.workers[workerID]
 	model := g.models.byID[modelID]
@@ -89,7 +89,7 @@
 	}
 	call := g.allocateControlCall(CallLoadModel, w, model)
 	call.Replicas = replicas
-	g.Metrics.loadOrders.Inc()
+	g.Metrics.loadRequests.Inc()
 	g.RecordEvent("load_requested", "", nil, w, float64(replicas))
 	if reason := rules.CheckLoad(w.isReady()); reason != rules.Allowed {
 		g.Metrics.countGuard("order_barred")
@@ -100,7 +100,7 @@
 	g.sendControlCall(call, g.cfg.Loads.Timeout.Seconds)
 }
 
-// UnloadModel orders a worker to unload its idle replicas of a model.
+// UnloadModel sends a request to unload the idle replicas of a model to a worker.
 func (g *Gateway) UnloadModel(workerID control.WorkerID, modelID control.ModelID) {
 	w := g.workers[workerID]
 	model := g.models.byID[modelID]
@@ -109,7 +109,7 @@
 	}
 }
 
-// ProbeWorker asks a worker for its load report.
+// ProbeWorker sends a probe to a worker, which responds with its load report.
 func (g *Gateway) ProbeWorker(id control.WorkerID) {
 	w := g.workers[id]
 	if w != nil {
@@ -126,10 +126,10 @@
 	}
 }
 
-// SendPeerMessage drops the message: dispatchers share nothing.
+// SendPeerMessage drops the message: this host does not carry gossip.
 func (g *Gateway) SendPeerMessage(control.PeerID, []byte) { g.Metrics.countGuard("note_dropped") }
 
-// SubscribeWorkerList starts or ends the notification of changes to the endpoint list. A start sends a snapshot first.
+// SubscribeWorkerList starts or ends the watch events of the endpoint list. The first event after a start is a snapshot.
 func (g *Gateway) SubscribeWorkerList(on bool) {
 	wasSubscribed := g.listSubscribed
 	g.listSubscribed = on
@@ -138,7 +138,7 @@
 	}
 }
 
-// FetchWorkerList has a snapshot of the endpoint list delivered in this turn of the loop.
+// FetchWorkerList delivers a snapshot of the endpoint list in this turn of the loop.
 func (g *Gateway) FetchWorkerList() {
 	g.Loop.Defer(func() { g.sendWorkerList(control.ListSnapshot) })
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -4,17 +4,17 @@
 	"mastchute/control"
 )
 
-const maxRecycledBody = 64 << 10 // bytes; larger response buffers are not kept with a recycled attempt
+const maxRecycledBody = 64 << 10 // bytes; a larger response buffer is freed when its attempt is recycled
 
-// finishedAttempt is the end of an attempt of which the control module is to be notified. Without an attempt it only
-// releases the request.
+// finishedAttempt is an entry of Gateway.finished: an attempt of whose end the control module is to be notified, or, with a
+// nil attempt, a request that is to be released.
 type finishedAttempt struct {
 	request *Request
 	attempt *Attempt
 	result  control.AttemptResult
 }
 
-// addAttempt adds an attempt to a request, which must have room for it.
+// addAttempt adds an attempt to a request, which must have fewer than maxAttempts.
 func (g *Gateway) addAttempt(r *Request, w *Worker) *Attempt {
 	a := g.allocateAttempt()
 	a.Request = r
@@ -57,8 +57,8 @@
 	g.freeAttempts = append(g.freeAttempts, a)
 }
 
-// startStreaming records that the response of an attempt is passed on to the client as it arrives. The client has its
-// response from here on: the other attempts are cancelled and no timeout applies.
+// startStreaming records that the response of an attempt is passed on to the client as it arrives. The response is settled
+// from here on: the other attempts are cancelled and no timeout applies.
 func (g *Gateway) startStreaming(a *Attempt) {
 	r := a.Request
 	r.streamingAttempt = a
@@ -74,8 +74,8 @@
 	})
 }
 
-// finishAttempt ends an attempt, once, gives the client its response if this was it, and schedules the report to the
-// control module for this turn of the loop. Of an attempt that is nil or has ended, nothing happens.
+// finishAttempt records the end of an attempt, gives the client its final response if the attempt provides it, and schedules
+// the report to the control module for this turn of the loop. It ignores an attempt that is nil or has finished.
 func (g *Gateway) finishAttempt(a *Attempt, result control.Result) {
 	if a == nil || a.finished {
 		return
@@ -112,8 +112,8 @@
 	g.finished = append(g.finished, finishedAttempt{request: r, attempt: a, result: report})
 }
 
-// withdraw takes an attempt back from the transport, and returns its result: NotSent if it never was written to an
-// established connection, unless it timed out.
+// withdraw cancels an attempt at its transport, and returns its result: NotSent if it was never written to an established
+// connection, unless it timed out.
 func (a *Attempt) withdraw(result control.Result) control.Result {
 	if a.blocked {
 		return control.NotSent
@@ -126,8 +126,8 @@
 	return result
 }
 
-// respondWith gives the client the final response if the end of an attempt is one: a success, or the end of a stream
-// before its time, which must not look complete.
+// respondWith gives the client its final response if the end of an attempt provides one: a success, or the end of a stream
+// that is incomplete, which the client must be able to notice.
 func (g *Gateway) respondWith(a *Attempt, result control.Result) {
 	r := a.Request
 	responder := r.Responder
--- a/internal/gateway/control_call.go
+++ b/internal/gateway/control_call.go
@@ -4,70 +4,70 @@
 	"mastchute/control"
 )
 
-const probeTimeout = 1.0 // s, of a probe; a newly listed worker that does not respond by then is announced without its start
+const probeTimeout = 1.0 // s; a newly listed worker that does not respond by then is announced without its start time
 
 func (g *Gateway) allocateControlCall(kind ControlCallKind, w *Worker, model *Model) *ControlCall {
 	if len(g.freeControlCalls) == 0 {
 		g.freeControlCalls = append(g.freeControlCalls, g.newControlCall())
 	}
 	last := len(g.freeControlCalls) - 1
-	c := g.freeControlCalls[last]
+	call := g.freeControlCalls[last]
 	g.freeControlCalls = g.freeControlCalls[:last]
-	c.Kind = kind
-	c.Worker = w
-	c.Model = model
-	c.Replicas = 1
-	c.Response = WorkerResponse{}
-	c.createdAt = g.Loop.Now()
-	c.finished = false
+	call.Kind = kind
+	call.Worker = w
+	call.Model = model
+	call.Replicas = 1
+	call.Response = WorkerResponse{}
+	call.createdAt = g.Loop.Now()
+	call.finished = false
 	w.callsInFlight++
 	if model != nil {
 		model.inFlight++
 	}
-	return c
+	return call
 }
 
 func (g *Gateway) newControlCall() *ControlCall {
-	c := &ControlCall{gateway: g}
-	c.timeoutTimer.Fire = func() { g.finishControlCall(c, control.TimedOut) }
-	return c
+	call := &ControlCall{gateway: g}
+	call.timeoutTimer.Fire = func() { g.finishControlCall(call, control.TimedOut) }
+	return call
 }
 
-func (g *Gateway) sendControlCall(c *ControlCall, timeout float64) {
-	g.Loop.Start(&c.timeoutTimer, timeout)
-	c.Worker.transport.SendControlCall(c)
+func (g *Gateway) sendControlCall(call *ControlCall, timeout float64) {
+	g.Loop.Start(&call.timeoutTimer, timeout)
+	call.Worker.transport.SendControlCall(call)
 }
 
-// finishControlCall ends a control call, once, and passes its result on.
-func (g *Gateway) finishControlCall(c *ControlCall, result control.Result) {
-	if c.finished {
+// finishControlCall records the end of a control call, and delivers its result. It ignores a call that has finished.
+func (g *Gateway) finishControlCall(call *ControlCall, result control.Result) {
+	if call.finished {
 		return
 	}
-	c.finished = true
+	call.finished = true
 	if result == control.TimedOut || result == control.NotSent {
-		c.Worker.transport.CancelControlCall(c)
+		call.Worker.transport.CancelControlCall(call)
 	}
-	g.Loop.Cancel(&c.timeoutTimer)
-	c.Worker.callsInFlight--
-	if c.Model != nil {
-		c.Model.inFlight--
+	g.Loop.Cancel(&call.timeoutTimer)
+	call.Worker.callsInFlight--
+	if call.Model != nil {
+		call.Model.inFlight--
 	}
-	g.deliverControlCallResult(c, result)
-	// Deferred, as the transport may still use the record in the call that reported the end.
-	g.Loop.Defer(func() { g.freeControlCalls = append(g.freeControlCalls, c) })
+	g.deliverControlCallResult(call, result)
+	// Deferred, because the transport may still use the record when this function returns to it.
+	g.Loop.Defer(func() { g.freeControlCalls = append(g.freeControlCalls, call) })
 }
 
-func (g *Gateway) deliverControlCallResult(c *ControlCall, result control.Result) {
-	duration := g.Loop.Now() - c.createdAt
-	switch c.Kind {
+func (g *Gateway) deliverControlCallResult(call *ControlCall, result control.Result) {
+	duration := g.Loop.Now() - call.createdAt
+	switch call.Kind {
 	case CallLoadModel:
-		load := control.LoadResult{Worker: c.Worker.ID, Model: c.Model.ID, Result: result, Duration: duration, Replicas: c.Response.Replicas}
+		load := control.LoadResult{Worker: call.Worker.ID, Model: call.Model.ID, Result: result, Duration: duration, Replicas: call.Response.Replicas}
 		g.deliver(func(module control.Module) { module.LoadFinished(load) })
 	case CallProbe:
-		probe := control.ProbeResult{Worker: c.Worker.ID, Result: result, Duration: duration, LoadReport: c.Response.LoadReport[:c.Response.LoadReportLen]}
+		probe := control.ProbeResult{Worker: call.Worker.ID, Result: result, Duration: duration, LoadReport: call.Response.LoadReport[:call.Response.LoadReportLen]}
 		g.deliver(func(module control.Module) { module.ProbeFinished(probe) })
 	case CallStartupProbe:
-		c.Worker.startupProbeCall = nil
-		g.finishStartupProbe(c.Worker, result == control.Succeeded)
+		call.Worker.startupProbeCall = nil
+		g.finishStartupProbe(call.Worker, result == control.Succeeded)
 	}
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -6,10 +6,10 @@
 	"mastchute/internal/flightrecorder"
 )
 
-// The flight recorder and the log of final responses.
+// This file writes to the flight recorder and logs final responses.
 
 // RecordEvent records a state change and its reason in the flight recorder. The request and the worker may be nil. what
-// and why should be constants: the recorder keeps them, and formatting would allocate.
+// and why should be constants, as formatting would allocate.
 func (g *Gateway) RecordEvent(what, why string, r *Request, w *Worker, value float64) {
 	e := flightrecorder.Event{At: g.Loop.Now(), What: what, Why: why, Value: value}
 	if r != nil {
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	evictionInterval = 5.0   // s between evictions
-	evictAfter       = 300.0 // s idle or gone, after which a model or worker is evicted, as by the control module
+	evictionInterval = 5.0   // s
+	evictAfter       = 300.0 // s without a request for a model, or since a worker is gone; the control module uses the same for workers
 )
 
 func (g *Gateway) evictPeriodically() {
@@ -18,18 +18,19 @@
 
 // EvictIdle evicts the models that were last requested before a time, and the workers that have been gone since before it
 // and have nothing in flight.
-func (g *Gateway) EvictIdle(since float64) {
-	g.models.evict(since, math.MaxInt)
-	g.Members.EvictGone(since, g.evictWorker)
+func (g *Gateway) EvictIdle(before float64) {
+	g.models.evict(before, math.MaxInt)
+	g.Members.EvictGone(before, g.evictWorker)
 }
 
-// evictWorker drops a worker's transport and metrics, unless they are in use, and reports whether it did.
+// evictWorker removes a worker, its transport and its metrics, unless they are in use, and reports whether it is removed.
 func (g *Gateway) evictWorker(member *membership.Worker) bool {
 	w := g.workers[member.ID]
 	if w == nil {
 		return true
 	}
-	if w.callsInFlight > 0 || w.startupProbeCall != nil || w.probeRetryTimer.Pending() || w.transport.ConnectionCount() > 0 {
+	hasCalls := w.callsInFlight > 0 || w.startupProbeCall != nil || w.probeRetryTimer.Pending()
+	if hasCalls || w.transport.ConnectionCount() > 0 {
 		return false
 	}
 	delete(g.workers, member.ID)
--- a/internal/gateway/final_response.go
+++ b/internal/gateway/final_response.go
@@ -16,15 +16,15 @@
 // String returns the outcome as metrics, logs and the Mastchute-Answer header show it.
 func (o outcome) String() string { return [...]string{"returned", "shed", "failed", "left"}[o] }
 
-// deadlineExceeded fires at the client's deadline. The control module finishes requests before it; this is the guard for
-// one that it has not finished. Attempts still in flight have timed out.
+// deadlineExceeded runs at the client's deadline. The control module finishes requests before it; this is the guard for a
+// request that it has not finished. Attempts still in flight time out.
 func (g *Gateway) deadlineExceeded(r *Request) {
 	if !r.inUse || r.streamingAttempt != nil {
 		return
 	}
 	if !r.finished {
 		g.Metrics.countGuard("late")
-		g.failRequest(r, true, "the time is up")
+		g.timeOutRequest(r, "the time is up")
 		g.deliverCancellation(r)
 	}
 	for _, a := range r.attempts[:r.attemptCount] {
@@ -32,7 +32,7 @@
 	}
 }
 
-// shedRequest gives the final response that a retry is harmless.
+// shedRequest gives a request the final response that it is rejected and a retry is harmless.
 func (g *Gateway) shedRequest(r *Request, retryAfter float64) {
 	responder := g.takeResponder(r, outcomeShed)
 	if responder != nil {
@@ -40,19 +40,25 @@
 	}
 }
 
-// failRequest gives the final response that promises nothing.
-func (g *Gateway) failRequest(r *Request, late bool, why string) {
+// failRequest gives a request the final response that it failed and may have run.
+func (g *Gateway) failRequest(r *Request, why string) { g.writeFailure(r, false, why) }
+
+// timeOutRequest is failRequest for a request whose deadline is the reason.
+func (g *Gateway) timeOutRequest(r *Request, why string) { g.writeFailure(r, true, why) }
+
+func (g *Gateway) writeFailure(r *Request, timedOut bool, why string) {
 	responder := g.takeResponder(r, outcomeFailed)
 	if responder == nil {
 		return
 	}
-	responder.WriteFailure(r, late, why)
+	responder.WriteFailure(r, timedOut, why)
 	if r.streamingAttempt != nil { // WriteFailure has cut the stream off
 		g.finishAttempt(r.streamingAttempt, control.Cancelled)
 	}
 }
 
-// takeResponder finishes a request and returns the writer for its final response, nil if it is finished already.
+// takeResponder finishes a request and returns the writer for its final response, nil if it has finished before. The caller
+// writes the response.
 func (g *Gateway) takeResponder(r *Request, o outcome) ResponseWriter {
 	if r.finished {
 		g.Metrics.countGuard("second_answer")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway is the I/O shell around the control module: it accepts requests from clients, passes events to
-// control.Module, carries out the module's actions towards workers, and gives each request exactly one final response. It
-// knows clients and workers by the interfaces of interfaces.go; HTTP/1.1 is one implementation of them.
+// Package gateway performs the I/O for the control module: it accepts requests from clients, passes events to
+// control.Module, executes the module's actions towards workers, and gives each request exactly one final response. It
+// reaches clients and workers through the interfaces in interfaces.go; HTTP/1.1 is one implementation of them.
 //
-// It makes no routing decisions. What it adds are guards that hold whatever the module decides: one final response per
-// request, nothing sent after it, nothing new sent to a draining worker, a response by the client's deadline. Each guard
-// counts when it acts. docs/host.md describes the order of events.
+// It makes no routing decisions. It adds guards that hold whatever the module decides: one final response per request,
+// nothing sent after it, nothing new sent to a draining worker, a response by the client's deadline. A metric counts each
+// time that a guard acts. docs/host.md describes the order of events.
 //
 // All state belongs to one event loop. Every method runs on it unless its comment says otherwise.
 package gateway
@@ -28,7 +28,7 @@
 	requestSlotBits = 20 // low bits of a request id that hold its slot; the others hold the slot's generation
 )
 
-// Gateway is one dispatcher.
+// Gateway is a dispatcher: the control module and all that it needs. New makes one.
 type Gateway struct {
 	Loop    *eventloop.Loop
 	Metrics *Metrics
@@ -43,7 +43,7 @@
 	requestIDPrefix string // unique to this start of the process
 	tenants         map[string]int
 	groups          []*group
-	random          *rand.Rand // jitter, so that dispatchers do not act in step
+	random          *rand.Rand // for jitter, so that dispatchers do not act in step
 
 	// The control module, nil before it is made and after it panicked.
 	module         control.Module
@@ -92,7 +92,7 @@
 	Config             *config.Config                            // what the gateway itself needs
 	Settings           control.Settings                          // passed to the control module
 	Seed               uint64                                    // of all randomness; 0 for one from the clock
-	NewClientTransport func(g *Gateway) (ClientTransport, error) // called once, before the loop runs
+	NewClientTransport func(g *Gateway) (ClientTransport, error) // New calls it once
 	Source             membership.Source                         // of Workers
 	Workers            []membership.Entry                        // the endpoint list at the start
 	MaxModels          int                                       // most cached models; 0 means the default
--- a/internal/gateway/http_clients.go
+++ b/internal/gateway/http_clients.go
@@ -17,7 +17,7 @@
 	"mastchute/internal/membership"
 )
 
-// Clients over HTTP/1.1: ClientTransport and ResponseWriter on package httpconn.
+// This file implements ClientTransport and ResponseWriter over HTTP/1.1, with package httpconn.
 
 const (
 	maxRequestLine    = 8 << 10 // bytes
@@ -92,61 +92,61 @@
 }
 
 // HeadReceived implements httpconn.Service. It answers health checks, and rejects requests before their body is read.
-func (t *httpClientTransport) HeadReceived(x *httpconn.Exchange) (answered bool) {
+func (t *httpClientTransport) HeadReceived(exchange *httpconn.Exchange) (answered bool) {
 	g := t.gateway
-	target := x.Head.Target
+	target := exchange.Head.Target
 	model, verb, isModelPath := parseModelPath(target)
 	switch {
 	case isModelPath && string(verb) == "infer":
-		return t.rejectInference(x, model)
-	case isModelPath && string(verb) == "ready" && isReadMethod(x.Head.Method):
+		return t.rejectUnacceptable(exchange, model)
+	case isModelPath && string(verb) == "ready" && isReadMethod(exchange.Head.Method):
 		if _, err := g.resolveModel(model); err != nil {
-			return t.reject(x, "unknown_model", 404, errUnknownModel.Error())
+			return t.reject(exchange, "unknown_model", 404, errUnknownModel.Error())
 		}
-		return t.writeHealth(x, g.Ready())
+		return t.writeHealth(exchange, g.Ready())
 	case string(target) == "/v2/health/live":
-		return t.writeHealth(x, g.exitStatus.PanicMessage == "")
+		return t.writeHealth(exchange, g.exitStatus.PanicMessage == "")
 	case string(target) == "/v2/health/ready":
-		return t.writeHealth(x, g.Ready())
+		return t.writeHealth(exchange, g.Ready())
 	}
-	return t.reject(x, "path", 404, "no such path; inferences go to POST /v2/models/NAME/infer")
+	return t.reject(exchange, "path", 404, "no such path; inferences go to POST /v2/models/NAME/infer")
 }
 
-// rejectInference rejects an inference request that its head shows not to be acceptable, and reports whether it did.
-func (t *httpClientTransport) rejectInference(x *httpconn.Exchange, modelName []byte) bool {
+// rejectUnacceptable rejects an inference request if its head shows that it can't be accepted, and reports whether it did.
+func (t *httpClientTransport) rejectUnacceptable(exchange *httpconn.Exchange, modelName []byte) bool {
 	g := t.gateway
-	if !httpcodec.EqualsLower(x.Head.Method, "post") {
-		return t.reject(x, "method", 405, "write POST")
+	if !httpcodec.EqualsLower(exchange.Head.Method, "post") {
+		return t.reject(exchange, "method", 405, "write POST")
 	}
 	_, err := g.resolveModel(modelName)
 	switch {
 	case errors.Is(err, errUnknownModel):
-		return t.reject(x, "unknown_model", 404, errUnknownModel.Error())
+		return t.reject(exchange, "unknown_model", 404, errUnknownModel.Error())
 	case err != nil:
-		return t.reject(x, "model_id", 409, "this model cannot be taken: "+err.Error())
+		return t.reject(exchange, "model_id", 409, "this model cannot be taken: "+err.Error())
 	case !g.Serving():
-		x.CloseAfter()
-		return t.reject(x, "stopping", 503, "the dispatcher is stopping")
+		exchange.CloseAfter()
+		return t.reject(exchange, "stopping", 503, "the dispatcher is stopping")
 	case g.inFlight >= g.cfg.Limits.Requests:
-		return t.reject(x, "too_many", 503, "too many inferences are in hand")
+		return t.reject(exchange, "too_many", 503, "too many inferences are in hand")
 	}
-	tenant := x.Head.Get("mastchute-tenant")
+	tenant := exchange.Head.Get("mastchute-tenant")
 	if len(tenant) > 0 && len(g.tenants) > 0 && t.tenantIndex(tenant) < 0 {
-		return t.reject(x, "unknown_tenant", 400, "no such tenant in the settings")
+		return t.reject(exchange, "unknown_tenant", 400, "no such tenant in the settings")
 	}
 	for _, name := range [...]string{"mastchute-timeout", "mastchute-work"} {
-		value := x.Head.Get(name)
+		value := exchange.Head.Get(name)
 		if value != nil && parseDecimal(value) <= 0 {
-			return t.reject(x, "header", 400, name+" is no positive decimal number of seconds")
+			return t.reject(exchange, "header", 400, name+" is no positive decimal number of seconds")
 		}
 	}
 	return false
 }
 
 // reject responds to a request that is not accepted. It sets no Mastchute-Answer, which only accepted requests get.
-func (t *httpClientTransport) reject(x *httpconn.Exchange, reason string, status int, detail string) bool {
+func (t *httpClientTransport) reject(exchange *httpconn.Exchange, reason string, status int, detail string) bool {
 	t.gateway.Metrics.countRejection(reason)
-	b := x.StartResponse(status)
+	b := exchange.StartResponse(status)
 	b = httpcodec.AppendHeader(b, "Content-Type", httpconn.ProblemType)
 	if status == 503 {
 		b = append(b, "Retry-After: 1\r\n"...)
@@ -154,16 +154,16 @@
 	if status == 405 {
 		b = append(b, "Allow: POST\r\n"...)
 	}
-	x.FinishResponse(b, httpconn.AppendProblem(nil, status, detail))
+	exchange.FinishResponse(b, httpconn.AppendProblem(nil, status, detail))
 	return true
 }
 
-func (t *httpClientTransport) writeHealth(x *httpconn.Exchange, healthy bool) bool {
+func (t *httpClientTransport) writeHealth(exchange *httpconn.Exchange, healthy bool) bool {
 	if !healthy {
-		x.Problem(503, "not ready")
+		exchange.Problem(503, "not ready")
 		return true
 	}
-	x.FinishResponse(x.StartResponse(200), nil)
+	exchange.FinishResponse(exchange.StartResponse(200), nil)
 	return true
 }
 
@@ -174,12 +174,12 @@
 
 // RequestReceived implements httpconn.Service: it accepts a request, unless the gateway's state has changed since its head
 // was received.
-func (t *httpClientTransport) RequestReceived(x *httpconn.Exchange) {
+func (t *httpClientTransport) RequestReceived(exchange *httpconn.Exchange) {
 	g := t.gateway
-	name, _, _ := parseModelPath(x.Head.Target)
+	name, _, _ := parseModelPath(exchange.Head.Target)
 	model, err := g.resolveModel(name)
 	if err != nil || !g.Serving() || g.inFlight >= g.cfg.Limits.Requests {
-		t.reject(x, "stopping", 503, "the dispatcher is stopping or full")
+		t.reject(exchange, "stopping", 503, "the dispatcher is stopping or full")
 		return
 	}
 	details := control.Request{
@@ -188,15 +188,15 @@
 		Concurrency:  model.Concurrency,
 		LoadTimeHint: model.LoadSeconds,
 		Deadline:     math.Inf(1),
-		ClientRetry:  httpcodec.EqualsLower(x.Head.Get("mastchute-repeat"), "true"),
-		WorkHint:     parseDecimal(x.Head.Get("mastchute-work")),
+		ClientRetry:  httpcodec.EqualsLower(exchange.Head.Get("mastchute-repeat"), "true"),
+		WorkHint:     parseDecimal(exchange.Head.Get("mastchute-work")),
 	}
-	if timeout := x.Head.Get("mastchute-timeout"); timeout != nil {
-		details.Deadline = x.ReceivedAt() + parseDecimal(timeout)
+	if timeout := exchange.Head.Get("mastchute-timeout"); timeout != nil {
+		details.Deadline = exchange.ReceivedAt() + parseDecimal(timeout)
 	}
-	tenant := t.tenantIndex(x.Head.Get("mastchute-tenant"))
-	w := t.allocateWriter(x)
-	w.request = g.AcceptRequest(w, model, tenant, x.ReceivedAt(), details)
+	tenant := t.tenantIndex(exchange.Head.Get("mastchute-tenant"))
+	w := t.allocateWriter(exchange)
+	w.request = g.AcceptRequest(w, model, tenant, exchange.ReceivedAt(), details)
 }
 
 // tenantIndex returns the index of a tenant in the settings, -1 if there is none of that name.
@@ -209,8 +209,8 @@
 }
 
 // ClientGone implements httpconn.Service.
-func (t *httpClientTransport) ClientGone(x *httpconn.Exchange) {
-	w := writerOf(x)
+func (t *httpClientTransport) ClientGone(exchange *httpconn.Exchange) {
+	w := writerOf(exchange)
 	if w != nil {
 		request := w.request
 		t.recycleWriter(w)
@@ -219,8 +219,8 @@
 }
 
 // StreamWritable implements httpconn.Service: a streamed response may continue.
-func (t *httpClientTransport) StreamWritable(x *httpconn.Exchange) {
-	w := writerOf(x)
+func (t *httpClientTransport) StreamWritable(exchange *httpconn.Exchange) {
+	w := writerOf(exchange)
 	if w != nil && w.request.streamingAttempt != nil {
 		w.request.streamingAttempt.TransportState.(*httpAttempt).call.Resume()
 	}
@@ -235,15 +235,15 @@
 }
 
 // writerOf returns the writer of an exchange, nil if it has none.
-func writerOf(x *httpconn.Exchange) *httpResponseWriter {
-	w, _ := x.ServiceState.(*httpResponseWriter)
-	if w == nil || w.exchange != x {
+func writerOf(exchange *httpconn.Exchange) *httpResponseWriter {
+	w, _ := exchange.ServiceState.(*httpResponseWriter)
+	if w == nil || w.exchange != exchange {
 		return nil
 	}
 	return w
 }
 
-func (t *httpClientTransport) allocateWriter(x *httpconn.Exchange) *httpResponseWriter {
+func (t *httpClientTransport) allocateWriter(exchange *httpconn.Exchange) *httpResponseWriter {
 	var w *httpResponseWriter
 	if n := len(t.freeWriters); n > 0 {
 		w = t.freeWriters[n-1]
@@ -251,8 +251,8 @@
 	} else {
 		w = &httpResponseWriter{transport: t}
 	}
-	w.exchange = x
-	x.ServiceState = w
+	w.exchange = exchange
+	exchange.ServiceState = w
 	return w
 }
 
@@ -264,51 +264,53 @@
 
 // WriteResponse implements ResponseWriter.
 func (w *httpResponseWriter) WriteResponse(r *Request, a *Attempt) {
-	x := w.exchange
+	exchange := w.exchange
 	w.transport.recycleWriter(w)
 	if r.streamingAttempt == a {
-		x.EndStream()
+		exchange.EndStream()
 		return
 	}
 	response := a.TransportState.(*httpAttempt)
-	b := w.transport.appendMarkHeaders(x.StartResponse(response.status), r, outcomeReturned)
-	x.FinishResponse(append(b, response.headers...), a.ResponseBody)
+	b := w.transport.appendResultHeaders(exchange.StartResponse(response.status), r, outcomeReturned)
+	exchange.FinishResponse(append(b, response.headers...), a.ResponseBody)
 }
 
 // WriteShed implements ResponseWriter.
 func (w *httpResponseWriter) WriteShed(r *Request, retryAfter float64) {
-	x, t := w.exchange, w.transport
+	exchange := w.exchange
+	t := w.transport
 	t.recycleWriter(w)
-	b := t.appendMarkHeaders(x.StartResponse(503), r, outcomeShed)
+	b := t.appendResultHeaders(exchange.StartResponse(503), r, outcomeShed)
 	b = append(b, "Content-Type: application/problem+json\r\nRetry-After: "...)
 	b = strconv.AppendInt(b, int64(math.Ceil(retryAfter)), 10)
 	b = append(b, "\r\nMastchute-Retry-After: "...)
 	b = appendSeconds(b, retryAfter)
 	b = append(b, "\r\n"...)
 	t.scratch = httpconn.AppendProblem(t.scratch[:0], 503, "no worker can take this now; trying again is harmless")
-	x.FinishResponse(b, t.scratch)
+	exchange.FinishResponse(b, t.scratch)
 }
 
 // WriteFailure implements ResponseWriter.
-func (w *httpResponseWriter) WriteFailure(r *Request, late bool, why string) {
-	x, t := w.exchange, w.transport
+func (w *httpResponseWriter) WriteFailure(r *Request, timedOut bool, why string) {
+	exchange := w.exchange
+	t := w.transport
 	t.recycleWriter(w)
 	if r.streamingAttempt != nil { // a response that has begun can only be cut off
-		x.AbortStream()
+		exchange.AbortStream()
 		return
 	}
 	status := 502
-	if late {
+	if timedOut {
 		status = 504
 	}
-	b := t.appendMarkHeaders(x.StartResponse(status), r, outcomeFailed)
+	b := t.appendResultHeaders(exchange.StartResponse(status), r, outcomeFailed)
 	b = append(b, "Content-Type: application/problem+json\r\n"...)
 	t.scratch = httpconn.AppendProblem(t.scratch[:0], status, why)
-	x.FinishResponse(b, t.scratch)
+	exchange.FinishResponse(b, t.scratch)
 }
 
-// appendMarkHeaders appends the headers of every final response.
-func (t *httpClientTransport) appendMarkHeaders(b []byte, r *Request, o outcome) []byte {
+// appendResultHeaders appends the headers of every final response.
+func (t *httpClientTransport) appendResultHeaders(b []byte, r *Request, o outcome) []byte {
 	b = append(b, "Mastchute-Answer: "...)
 	b = append(b, o.String()...)
 	b = append(b, "\r\nMastchute-Inference: "...)
@@ -320,8 +322,8 @@
 	return httpcodec.EqualsLower(method, "get") || httpcodec.EqualsLower(method, "head")
 }
 
-// parseModelPath splits /v2/models/NAME/VERB, without its query. ok is false for any other path. Percent escapes are not
-// decoded: a name with one is another name.
+// parseModelPath splits /v2/models/NAME/VERB, without its query. ok is false for any other path. Percent escapes are part of
+// the name: they are not decoded.
 func parseModelPath(target []byte) (name, verb []byte, ok bool) {
 	const prefix = "/v2/models/"
 	target = target[:indexByte(target, '?')]
--- a/internal/gateway/http_workers.go
+++ b/internal/gateway/http_workers.go
@@ -10,7 +10,7 @@
 	"mastchute/internal/rules"
 )
 
-// Workers over HTTP/1.1: WorkerTransport on a pool of connections.
+// This file implements WorkerTransport over HTTP/1.1, with a connection pool of package httpconn.
 
 // httpWorkerTransport implements WorkerTransport. The pool provides the methods that concern connections.
 type httpWorkerTransport struct {
@@ -53,14 +53,14 @@
 		state.call.Handler = state
 		a.TransportState = state
 	}
-	x := exchangeOf(a)
+	exchange := exchangeOf(a)
 	state.status = 0
 	state.headers = state.headers[:0]
 	state.contentLength = -1
 	state.metadata = responseMetadata{}
-	state.head = t.gateway.appendAttemptHead(state.head[:0], a, x)
+	state.head = t.gateway.appendAttemptHead(state.head[:0], a, exchange)
 	state.call.SendDeadline = a.SendDeadline
-	t.Do(&state.call, state.head, x.Body)
+	t.Do(&state.call, state.head, exchange.Body)
 }
 
 // exchangeOf returns the client's exchange of an attempt whose request has no final response yet.
@@ -91,7 +91,8 @@
 	return state != nil && state.call.FullySent()
 }
 
-// RewriteHead implements httpconn.HeadRewriter: an attempt that waited for a connection is sent with the time left then.
+// RewriteHead implements httpconn.HeadRewriter: the head of an attempt that waited for a connection gets the time that is
+// left now.
 func (h *httpAttempt) RewriteHead() ([]byte, bool) {
 	a := h.attempt
 	now := a.gateway.Loop.Clock()
@@ -103,15 +104,15 @@
 }
 
 // appendAttemptHead appends the request head of an attempt: the client's headers, then the gateway's.
-func (g *Gateway) appendAttemptHead(b []byte, a *Attempt, x *httpconn.Exchange) []byte {
+func (g *Gateway) appendAttemptHead(b []byte, a *Attempt, exchange *httpconn.Exchange) []byte {
 	r := a.Request
 	b = append(b, "POST /v2/models/"...)
 	b = append(b, r.model.Name...)
 	b = append(b, "/infer HTTP/1.1\r\nHost: "...)
 	b = a.Worker.Addr.AppendTo(b)
 	b = append(b, "\r\n"...)
-	b, hasKey := appendForwardedHeaders(b, &x.Head)
-	if !hasKey && r.group.effect != control.Retriable { // workers drop the gateway's own repeats by it
+	b, hasKey := appendForwardedHeaders(b, &exchange.Head)
+	if !hasKey && r.group.effect != control.Retriable { // it lets workers drop repeats that the gateway sends
 		b = append(b, "Idempotency-Key: "...)
 		b = g.appendRequestID(b, r)
 		b = append(b, "\r\n"...)
@@ -127,20 +128,18 @@
 	b = append(b, "\r\nMastchute-Timeout: "...)
 	b = appendSeconds(b, float64(rules.WorkerDeadlineMillis(g.Loop.Clock(), r.deadline))/1e3)
 	b = append(b, "\r\n"...)
-	b = httpcodec.AppendLength(b, int64(len(x.Body)))
+	b = httpcodec.AppendLength(b, int64(len(exchange.Body)))
 	return append(b, "\r\n"...)
 }
 
-// appendForwardedHeaders appends the client's headers but those of its connection and those that the gateway sets. It
-// reports whether an idempotency key was among them.
+// appendForwardedHeaders appends the client's headers except those of its connection and those that the gateway sets. It
+// reports whether an idempotency key is among them.
 func appendForwardedHeaders(b []byte, head *httpcodec.Head) (appended []byte, hasKey bool) {
 	connection := head.Get("connection")
 	for i := range head.Headers {
 		name, value := head.Headers[i].Name, head.Headers[i].Value
-		if httpcodec.IsHopByHop(name) || len(connection) > 0 && httpcodec.ListContains(connection, name) {
-			continue
-		}
-		if hasMarkPrefix(name) && !httpcodec.EqualsLower(name, "mastchute-tenant") && !httpcodec.EqualsLower(name, "mastchute-work") {
+		isOfConnection := httpcodec.IsHopByHop(name) || len(connection) > 0 && httpcodec.ListContains(connection, name)
+		if isOfConnection || isMastchuteHeader(name) && !isForwardedMastchuteHeader(name) {
 			continue
 		}
 		hasKey = hasKey || httpcodec.EqualsLower(name, "idempotency-key")
@@ -149,6 +148,11 @@
 	return b, hasKey
 }
 
+// isForwardedMastchuteHeader reports whether a Mastchute- header of the client is meant for workers too.
+func isForwardedMastchuteHeader(name []byte) bool {
+	return httpcodec.EqualsLower(name, "mastchute-tenant") || httpcodec.EqualsLower(name, "mastchute-work")
+}
+
 func appendHeaderBytes(b, name, value []byte) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -158,7 +162,8 @@
 
 // ResponseHead implements httpconn.ResponseHandler.
 func (h *httpAttempt) ResponseHead(head *httpcodec.Head) {
-	a, g := h.attempt, h.attempt.gateway
+	a := h.attempt
+	g := a.gateway
 	h.metadata = classifyResponse(head, g.cfg.Report)
 	h.status = head.Status
 	h.contentLength = head.Length
@@ -167,7 +172,7 @@
 	if h.metadata.Result != control.Succeeded {
 		return
 	}
-	// Workers may report what the catalogue does not say.
+	// Workers may report figures that the catalogue lacks.
 	model := a.Request.model
 	model.MemoryMB = cmp.Or(model.MemoryMB, h.metadata.memoryMB)
 	model.Concurrency = cmp.Or(model.Concurrency, h.metadata.concurrency)
@@ -181,11 +186,11 @@
 	}
 }
 
-// appendReturnedHeaders appends a worker's headers but those of its connection and those for the gateway.
+// appendReturnedHeaders appends a worker's headers except those of its connection and those for the gateway.
 func appendReturnedHeaders(b []byte, head *httpcodec.Head) []byte {
 	for i := range head.Headers {
 		name := head.Headers[i].Name
-		if httpcodec.IsHopByHop(name) || httpcodec.EqualsLower(name, "endpoint-load-metrics") || hasMarkPrefix(name) {
+		if httpcodec.IsHopByHop(name) || httpcodec.EqualsLower(name, "endpoint-load-metrics") || isMastchuteHeader(name) {
 			continue
 		}
 		b = appendHeaderBytes(b, name, head.Headers[i].Value)
@@ -193,8 +198,8 @@
 	return b
 }
 
-// ResponseBody implements httpconn.ResponseHandler. A response is buffered up to a limit, so that a retry can replace one
-// that is cut short, and streamed beyond it.
+// ResponseBody implements httpconn.ResponseHandler. It buffers a response up to a limit, so that a retry can replace one that
+// is cut short, and streams a longer one.
 func (h *httpAttempt) ResponseBody(data []byte) {
 	a := h.attempt
 	r := a.Request
@@ -213,15 +218,15 @@
 	}
 }
 
-// startStreaming begins the client's response with what has been received so far.
+// startStreaming begins the client's response with the part that has been received.
 func (h *httpAttempt) startStreaming() {
 	a := h.attempt
 	w := a.Request.Responder.(*httpResponseWriter)
-	x := w.exchange
-	b := w.transport.appendMarkHeaders(x.StartResponse(h.status), a.Request, outcomeReturned)
+	exchange := w.exchange
+	b := w.transport.appendResultHeaders(exchange.StartResponse(h.status), a.Request, outcomeReturned)
 	b = append(b, h.headers...)
-	x.StartStream(b, h.contentLength)
-	if len(a.ResponseBody) > 0 && !x.WriteStream(a.ResponseBody) {
+	exchange.StartStream(b, h.contentLength)
+	if len(a.ResponseBody) > 0 && !exchange.WriteStream(a.ResponseBody) {
 		h.call.Pause()
 	}
 	a.ResponseBody = a.ResponseBody[:0]
@@ -233,7 +238,7 @@
 	h.attempt.Finish(finalResult(&h.call, h.metadata.Result, err))
 }
 
-// finalResult returns the result of a call that has ended: the response's unless there was an error.
+// finalResult returns the result of a call that has ended: that of the response, unless there was an error.
 func finalResult(call *httpconn.Call, result control.Result, err error) control.Result {
 	if err != nil {
 		return resultOfError(err, call.AnyByteSent())
@@ -299,7 +304,7 @@
 	c.gateway.observeStart(c.Worker, h.metadata.startEpoch)
 }
 
-// ResponseBody implements httpconn.ResponseHandler. The body of a control call's response says nothing more.
+// ResponseBody implements httpconn.ResponseHandler. The body of a control call's response is ignored.
 func (h *httpControlCall) ResponseBody([]byte) {}
 
 // ResponseDone implements httpconn.ResponseHandler.
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -8,13 +8,13 @@
 	"mastchute/internal/membership"
 )
 
-// This file holds what a protocol implementation and the gateway share. HTTP/1.1 (http_clients.go, http_workers.go) is
-// one implementation, internal/platform the other. Every method here, on either side, is called on the event loop of the
+// This file is the interface between the gateway and a protocol implementation. HTTP/1.1 (http_clients.go, http_workers.go)
+// is one implementation, internal/platform the other. Every method here, on either side, is called on the event loop of the
 // gateway; nothing is safe for use by other goroutines.
 //
-// Ownership: the gateway owns Request, Attempt and ControlCall records and uses them again once they are finished. An
-// implementation may read the exported fields from the call that hands it the record until the call that finishes it,
-// and owns TransportState. The bytes of a response belong to the transport that received them.
+// Ownership: the gateway owns Request, Attempt and ControlCall records, and recycles them once they are finished. An
+// implementation may read the exported fields from the call that passes it the record until the call that finishes it, and
+// owns TransportState. The bytes of a response belong to the transport that received them.
 
 // ResponseWriter writes the final response of one request to its client. The gateway calls exactly one of its methods,
 // once, and drops its reference. If the client disconnects first, the implementation calls Gateway.ClientGone instead,
@@ -25,12 +25,12 @@
 	// WriteShed writes that the request was rejected and that a retry by the client is harmless. retryAfter is the
 	// proposed wait in seconds, 0 for no proposal.
 	WriteShed(request *Request, retryAfter float64)
-	// WriteFailure writes that the request failed and may have run. late reports whether the client's deadline was the
+	// WriteFailure writes that the request failed and may have run. timedOut reports whether the client's deadline was the
 	// reason. If a response is being streamed, it is cut off so that the client notices.
-	WriteFailure(request *Request, late bool, why string)
+	WriteFailure(request *Request, timedOut bool, why string)
 }
 
-// ClientTransport accepts clients by one protocol, and makes the transports to workers. It passes a complete request to
+// ClientTransport serves clients over one protocol, and makes the transports to workers. It passes a complete request to
 // Gateway.AcceptRequest, if Gateway.Serving reports true.
 type ClientTransport interface {
 	// NewWorkerTransport returns the transport to a worker, which connects on demand. It is called for a newly listed
@@ -50,22 +50,22 @@
 type WorkerTransport interface {
 	// SendAttempt sends or queues the request of an attempt.
 	SendAttempt(attempt *Attempt)
-	// CancelAttempt abandons an attempt: no byte that has not been sent yet is sent, and Finish is not called. An
+	// CancelAttempt cancels an attempt: no byte that has not been sent yet is sent, and Finish is not called. An
 	// attempt that has ended is ignored.
 	CancelAttempt(attempt *Attempt)
 	// SentAt returns the loop's time at which the attempt was written to an established connection, 0 before that.
 	SentAt(attempt *Attempt) float64
-	// FullySent reports whether the attempt can no longer be kept from the worker, as all of it has been sent.
+	// FullySent reports whether all of the attempt has been sent, so that cancelling it can't prevent that it runs.
 	FullySent(attempt *Attempt) bool
 	// SendControlCall sends a load, an unload or a probe. A call without a response finishes once it is sent.
 	SendControlCall(call *ControlCall)
-	// CancelControlCall abandons a control call: Finish is not called.
+	// CancelControlCall cancels a control call: Finish is not called.
 	CancelControlCall(call *ControlCall)
-	// CloseIdle closes the connections that carry nothing.
+	// CloseIdle closes the idle connections.
 	CloseIdle()
-	// FailUnsent finishes as control.NotSent everything that has not been sent, soon but not within the call.
+	// FailUnsent finishes each call of which nothing has been sent with control.NotSent, soon but not within FailUnsent.
 	FailUnsent()
-	// Close closes idle connections at once and each other one when it becomes idle.
+	// Close closes idle connections at once, and each other connection when it becomes idle.
 	Close()
 	// ConnectionCount returns the number of connections to the worker.
 	ConnectionCount() int
@@ -73,7 +73,7 @@
 	QueuedCount() int
 }
 
-// WorkerResponse is what a worker reports beside the body of its response.
+// WorkerResponse is what a worker's response reports, apart from its body.
 type WorkerResponse struct {
 	Result            control.Result
 	ModelState        control.ModelState
@@ -107,7 +107,7 @@
 	Response       WorkerResponse
 	ResponseBody   []byte  // as much of the response body as is buffered
 	TransportState any     // owned by the worker transport; it stays when the Attempt is used again
-	SendDeadline   float64 // loop time after which no first byte may be sent: workers would no longer drop the repeat
+	SendDeadline   float64 // loop time after which no first byte may be sent, as workers no longer drop the repeat; +Inf for none
 
 	gateway      *Gateway
 	createdAt    float64 // loop time of the control module's action
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -8,23 +8,23 @@
 	"mastchute/internal/eventloop"
 )
 
-// Metrics are the metrics of one dispatcher. Counting on the ordinary path takes a few atomic additions: the counters of
-// its labels are looked up once, when a group or worker is set up.
+// Metrics are the metrics of one dispatcher. Counters with labels are looked up once for each model group and worker, so
+// that a request costs a few atomic additions.
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	loadOrders     prometheus.Counter
-	probes         prometheus.Counter
-	listFailures   prometheus.Counter
-	rejections     *prometheus.CounterVec
-	guards         *prometheus.CounterVec
-	violations     *prometheus.CounterVec
-	heldBack       *prometheus.CounterVec
-	accepted       *prometheus.CounterVec
-	outcomes       *prometheus.CounterVec
-	latency        *prometheus.HistogramVec
-	attempts       *prometheus.CounterVec
-	attemptResults *prometheus.CounterVec
+	loadRequests     prometheus.Counter
+	probes           prometheus.Counter
+	listFailures     prometheus.Counter
+	rejections       *prometheus.CounterVec
+	guardActions     *prometheus.CounterVec
+	violations       *prometheus.CounterVec
+	heldBackAttempts *prometheus.CounterVec
+	accepted         *prometheus.CounterVec
+	outcomes         *prometheus.CounterVec
+	latency          *prometheus.HistogramVec
+	attempts         *prometheus.CounterVec
+	attemptResults   *prometheus.CounterVec
 }
 
 // groupMetrics are the metrics of a model group.
@@ -76,17 +76,17 @@
 	m := &Metrics{
 		Registry: r.Registry,
 
-		loadOrders:     r.counter("mastchute_load_orders_total", "Load orders sent to workers."),
-		probes:         r.counter("mastchute_probes_total", "Probes sent to workers."),
-		listFailures:   r.counter("mastchute_roster_failures_total", "Times a source of the list of workers could not be read."),
-		rejections:     r.counterVec("mastchute_refusals_total", "Requests refused before an inference was taken, by reason.", "reason"),
-		guards:         r.counterVec("mastchute_guards_total", "Times the host barred what a rule forbids; each is a fault to report.", "guard"),
-		violations:     r.counterVec("mastchute_violations_total", "Acts that the decisions asked for and a rule forbids; barred, and a fault to report.", "rule", "reason"),
-		heldBack:       r.counterVec("mastchute_overtaken_total", "Attempts held back at the last moment, as events overtook them; no fault.", "rule", "reason"),
-		accepted:       r.counterVec("mastchute_taken_total", "Inferences taken.", "group"),
-		outcomes:       r.counterVec("mastchute_answers_total", "Final answers, by kind; left means that the client went first.", "group", "answer"),
-		attempts:       r.counterVec("mastchute_forwards_total", "Forwards to workers.", "worker"),
-		attemptResults: r.counterVec("mastchute_forward_ends_total", "How forwards ended.", "worker", "result"),
+		loadRequests:     r.counter("mastchute_load_orders_total", "Load orders sent to workers."),
+		probes:           r.counter("mastchute_probes_total", "Probes sent to workers."),
+		listFailures:     r.counter("mastchute_roster_failures_total", "Times a source of the list of workers could not be read."),
+		rejections:       r.counterVec("mastchute_refusals_total", "Requests refused before an inference was taken, by reason.", "reason"),
+		guardActions:     r.counterVec("mastchute_guards_total", "Times the host barred what a rule forbids; each is a fault to report.", "guard"),
+		violations:       r.counterVec("mastchute_violations_total", "Acts that the decisions asked for and a rule forbids; barred, and a fault to report.", "rule", "reason"),
+		heldBackAttempts: r.counterVec("mastchute_overtaken_total", "Attempts held back at the last moment, as events overtook them; no fault.", "rule", "reason"),
+		accepted:         r.counterVec("mastchute_taken_total", "Inferences taken.", "group"),
+		outcomes:         r.counterVec("mastchute_answers_total", "Final answers, by kind; left means that the client went first.", "group", "answer"),
+		attempts:         r.counterVec("mastchute_forwards_total", "Forwards to workers.", "worker"),
+		attemptResults:   r.counterVec("mastchute_forward_ends_total", "How forwards ended.", "worker", "result"),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "mastchute_returned_seconds",
 			Help: "Time from taking an inference to its returned answer.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 16)}, []string{"group"}),
 	}
@@ -111,7 +111,7 @@
 func (m *Metrics) countRejection(reason string) { m.rejections.WithLabelValues(reason).Inc() }
 
 // countGuard counts an action that a guard prevented.
-func (m *Metrics) countGuard(guard string) { m.guards.WithLabelValues(guard).Inc() }
+func (m *Metrics) countGuard(guard string) { m.guardActions.WithLabelValues(guard).Inc() }
 
 func (m *Metrics) forGroup(name string) groupMetrics {
 	group := groupMetrics{accepted: m.accepted.WithLabelValues(name), latency: m.latency.WithLabelValues(name)}
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	defaultMaxModels = 100_000 // models cached; further names are rejected, so that clients cannot fill the memory with them
-	modelIdleTimeout = 300.0   // s after which a model that is not requested may be evicted; its id is the same when it returns
+	defaultMaxModels = 100_000 // cached models; further names are rejected, so that clients can't exhaust the memory
+	modelIdleTimeout = 300.0   // s without a request after which a model is evicted; it gets the same id when it is requested again
 )
 
 // ErrTooManyModels is returned for a new model name while the cache is full of models in flight or in recent use.
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("its model group %s is new: restart to use it", e.group)
 }
 
-// Model is a model by its name. In the figures 0 means that it is not known.
+// Model is a model that clients request by its name. Figures are 0 if they are not known.
 type Model struct {
 	Name        string
 	ID          control.ModelID
@@ -49,58 +49,58 @@
 	group      *group
 	lastUsed   float64 // loop time of its latest request
 	inFlight   int     // requests and control calls in flight that refer to it
-	prev, next *Model  // in the order of use
+	prev, next *Model  // in modelCache's list
 }
 
-// modelCache holds the models in recent use. ring is the head of a list of them in the order of their last use: its next
-// is the least recently used.
+// modelCache is an LRU cache of models. lruHead is the sentinel of a circular list in the order of their last use: its next
+// is the least recently used, its prev the most recently used.
 type modelCache struct {
-	byName map[string]*Model
-	byID   map[control.ModelID]*Model
-	ring   Model
+	byName  map[string]*Model
+	byID    map[control.ModelID]*Model
+	lruHead Model
 }
 
 func (c *modelCache) init() {
 	c.byName = map[string]*Model{}
 	c.byID = map[control.ModelID]*Model{}
-	c.ring.next = &c.ring
-	c.ring.prev = &c.ring
+	c.lruHead.next = &c.lruHead
+	c.lruHead.prev = &c.lruHead
 }
 
-func (c *modelCache) unlink(m *Model) {
-	m.prev.next = m.next
-	m.next.prev = m.prev
+func (c *modelCache) unlink(model *Model) {
+	model.prev.next = model.next
+	model.next.prev = model.prev
 }
 
 // touch makes a model the most recently used.
-func (c *modelCache) touch(m *Model, now float64) {
-	if m.next != nil {
-		c.unlink(m)
+func (c *modelCache) touch(model *Model, now float64) {
+	if model.next != nil {
+		c.unlink(model)
 	}
-	m.lastUsed = now
-	m.prev = c.ring.prev
-	m.next = &c.ring
-	m.prev.next = m
-	c.ring.prev = m
+	model.lastUsed = now
+	model.prev = c.lruHead.prev
+	model.next = &c.lruHead
+	model.prev.next = model
+	c.lruHead.prev = model
 }
 
-// evict drops the models last used before a time and, while the cache holds limit models or more, further ones in the
-// order of their last use. Models in flight stay.
-func (c *modelCache) evict(since float64, limit int) {
-	m := c.ring.next
-	for m != &c.ring && (m.lastUsed < since || len(c.byID) >= limit) {
-		next := m.next
-		if m.inFlight == 0 {
-			c.unlink(m)
-			delete(c.byName, m.Name)
-			delete(c.byID, m.ID)
+// evict removes the models last used before a time and, while the cache holds limit models or more, further ones, least
+// recently used first. It keeps models that have requests or control calls in flight.
+func (c *modelCache) evict(before float64, limit int) {
+	model := c.lruHead.next
+	for model != &c.lruHead && (model.lastUsed < before || len(c.byID) >= limit) {
+		next := model.next
+		if model.inFlight == 0 {
+			c.unlink(model)
+			delete(c.byName, model.Name)
+			delete(c.byID, model.ID)
 		}
-		m = next
+		model = next
 	}
 }
 
-// resolveModel returns the model of a name, from the cache or by the catalogue. It returns errUnknownModel if the
-// catalogue has no entry for it.
+// resolveModel returns a model by its name, from the cache or the catalogue. It returns errUnknownModel if no entry of the
+// catalogue matches the name.
 func (g *Gateway) resolveModel(name []byte) (*Model, error) {
 	if m := g.FindModel(name); m != nil {
 		return m, nil
@@ -128,11 +128,11 @@
 
 // FindModel returns a cached model by its name, nil if there is none.
 func (g *Gateway) FindModel(name []byte) *Model {
-	m := g.models.byName[string(name)]
-	if m != nil {
-		g.models.touch(m, g.Loop.Now())
+	cached := g.models.byName[string(name)]
+	if cached != nil {
+		g.models.touch(cached, g.Loop.Now())
 	}
-	return m
+	return cached
 }
 
 // AddModel adds a model to the cache, or updates the cached model of the same id and name. The error is ErrTooManyModels
@@ -140,28 +140,28 @@
 func (g *Gateway) AddModel(model Model) (*Model, error) {
 	now := g.Loop.Now()
 	g.models.evict(now-modelIdleTimeout, g.maxModels)
-	m := g.models.byID[model.ID]
-	if m != nil && m.Name != model.Name {
-		return nil, &ModelIDCollisionError{Existing: m.Name}
+	cached := g.models.byID[model.ID]
+	if cached != nil && cached.Name != model.Name {
+		return nil, &ModelIDCollisionError{Existing: cached.Name}
 	}
-	if m == nil {
+	if cached == nil {
 		if len(g.models.byID) >= g.maxModels {
 			return nil, ErrTooManyModels
 		}
-		m = &Model{Name: model.Name, ID: model.ID}
-		g.models.byID[m.ID] = m
+		cached = &Model{Name: model.Name, ID: model.ID}
+		g.models.byID[cached.ID] = cached
 	}
-	m.Group = model.Group
-	m.MemoryMB = model.MemoryMB
-	m.Concurrency = model.Concurrency
-	m.LoadSeconds = model.LoadSeconds
-	m.group = g.groups[model.Group]
-	g.models.byName[m.Name] = m
-	g.models.touch(m, now)
-	return m, nil
+	cached.Group = model.Group
+	cached.MemoryMB = model.MemoryMB
+	cached.Concurrency = model.Concurrency
+	cached.LoadSeconds = model.LoadSeconds
+	cached.group = g.groups[model.Group]
+	g.models.byName[cached.Name] = cached
+	g.models.touch(cached, now)
+	return cached, nil
 }
 
-// SetModels replaces the catalogue. Cached models are resolved anew at their next request; their ids stay.
+// SetModels replaces the catalogue. Cached models are resolved again at their next request, and keep their ids.
 func (g *Gateway) SetModels(catalogue []config.Model) {
 	g.cfg.Models = catalogue
 	clear(g.models.byName)
--- a/internal/gateway/module.go
+++ b/internal/gateway/module.go
@@ -8,8 +8,9 @@
 	"mastchute/internal/eventloop"
 )
 
-// Calls of the control module. The first event of a turn of the loop opens a batch, which sets the module's time; the end
-// of the turn closes it by Reconcile, which carries out the module's actions. A panic in any call ends the dispatcher.
+// This file calls the control module. The first event of a turn of the loop opens a batch and sets the module's time; the
+// end of the turn closes the batch with Reconcile, from which the module calls its actions. A panic in any call ends the
+// dispatcher.
 
 // NewModule makes the control module of a dispatcher.
 type NewModule func(seed uint64, settings control.Settings, actions control.Actions) control.Module
@@ -36,14 +37,14 @@
 	g.reconcile()
 }
 
-// deliver passes an event to the module as part of the current batch. The closure allocates, so the events of the ordinary
-// path have methods of their own.
+// deliver passes an event to the module as part of the current batch. The closure allocates, so the events that each request
+// causes have methods of their own.
 func (g *Gateway) deliver(event func(module control.Module)) {
 	g.beginBatch()
 	g.callModule(event)
 }
 
-// callModule calls the module, if there is one, outside of a batch.
+// callModule calls the module, if there is one, without opening a batch.
 func (g *Gateway) callModule(call func(module control.Module)) {
 	defer g.recoverPanic()
 	if g.module != nil {
@@ -100,8 +101,8 @@
 	}
 }
 
-// handlePanic ends the dispatcher after a panic of the module: every request in flight fails, as the module's state can no
-// longer be trusted.
+// handlePanic ends the dispatcher after a panic of the module: every request in flight fails, as the module's state may be
+// inconsistent.
 func (g *Gateway) handlePanic(message string, stack []byte) {
 	g.exitStatus.PanicMessage = message
 	g.module = nil
@@ -109,7 +110,7 @@
 	g.log.Error().Str("panic", message).Str("stack", string(stack)).Int("in_flight", g.inFlight).Msg("decision code failed; this dispatcher ends")
 	g.Loop.Defer(func() {
 		g.clients.Drain()
-		g.finishAll("the dispatcher failed")
+		g.finishAllRequests("the dispatcher failed")
 		g.stopping = true
 		g.stopDeadline = g.Loop.Now()
 		g.continueShutdown()
@@ -126,5 +127,5 @@
 	g.Loop.Start(t, after)
 }
 
-// Log logs a text of the module. It implements control.Actions.
+// Log logs a message of the module. It implements control.Actions.
 func (g *Gateway) Log(text string) { g.log.Info().Str("from", "decisions").Msg(text) }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -28,7 +28,7 @@
 	finished           bool     // the final response is given, or the client has disconnected
 	inUse              bool     // the slot holds a request
 	generation         uint32   // uses of the slot
-	traceID            [16]byte // the client's own name of the request, if it has one
+	traceID            [16]byte // the client's id for the request, if it set one
 }
 
 // Model returns the requested model.
@@ -46,7 +46,7 @@
 // Tenant returns the index of the request's tenant in the settings, -1 if it has none.
 func (r *Request) Tenant() int { return r.tenant }
 
-// SetTrace sets the client's own name of the request, which logs and dumps show.
+// SetTrace sets the client's id for the request, which logs and dumps show.
 func (r *Request) SetTrace(id [16]byte) { r.traceID = id }
 
 // InFlight returns the number of requests in flight.
@@ -55,7 +55,7 @@
 // Serving reports whether requests are accepted: not during a shutdown, nor after the control module panicked.
 func (g *Gateway) Serving() bool { return !g.stopping && g.module != nil }
 
-// AcceptRequest accepts a request: from here on its client is owed one final response by responder. tenant is an index in
+// AcceptRequest accepts a request, which obliges the gateway to give one final response through responder. tenant is an index in
 // the settings, -1 for none. The group's timeout counts from arrivedAt, when the request arrived on the loop's clock.
 // details holds what the client asked for and the model's group; AcceptRequest fills in the rest.
 func (g *Gateway) AcceptRequest(responder ResponseWriter, model *Model, tenant int, arrivedAt float64, details control.Request) *Request {
@@ -123,8 +123,8 @@
 
 func slotOf(id control.RequestID) int { return int(id & (1<<requestSlotBits - 1)) }
 
-// findRequest returns a request in flight, nil if it has been released. The generation in the id tells a late event of an
-// earlier use of the slot apart.
+// findRequest returns a request in flight, nil if it has been released. The generation in the id identifies late events for
+// an earlier use of the slot.
 func (g *Gateway) findRequest(id control.RequestID) *Request {
 	slot := slotOf(id)
 	if slot >= len(g.requests) {
@@ -154,7 +154,7 @@
 	g.inFlight--
 }
 
-// appendRequestID appends the id of a request that clients and workers see.
+// appendRequestID appends the id by which clients, workers and logs know a request.
 func (g *Gateway) appendRequestID(b []byte, r *Request) []byte {
 	b = append(b, g.requestIDPrefix...)
 	return strconv.AppendUint(b, r.seq, 10)
--- a/internal/gateway/rule_checks.go
+++ b/internal/gateway/rule_checks.go
@@ -7,13 +7,14 @@
 	"mastchute/internal/rules"
 )
 
-// The facts that package rules decides by, and the record of what it forbade.
+// This file provides the facts to package rules, and records what it forbids.
 
 var ruleNames = [...]string{"0", "1", "2", "3", "4", "5"} // values of the metric label "rule"
 
-// attemptFacts returns the facts that bear on an attempt at a worker, given the first attempts of the request.
+// attemptFacts returns the facts that decide whether an attempt at a worker is allowed. earlier is the number of attempts
+// that precede it.
 func (r *Request) attemptFacts(w *Worker, earlier int) rules.RequestFacts {
-	facts := rules.RequestFacts{Answered: r.finished, Deadline: r.deadline, Effect: r.group.effect, DedupUntil: math.Inf(1)}
+	facts := rules.RequestFacts{Finished: r.finished, Deadline: r.deadline, Effect: r.group.effect, DedupUntil: math.Inf(1)}
 	for _, a := range r.attempts[:earlier] {
 		if a.finished && a.result.NeverRan() {
 			continue
@@ -28,10 +29,10 @@
 	return facts
 }
 
-// shedFacts returns the facts that bear on shedding a request. An attempt in flight that has not been fully sent counts as
-// one that never ran, since the final response cancels it.
+// shedFacts returns the facts that decide whether a request may be shed. An attempt in flight that has not been fully sent
+// counts as one that never ran, since the final response cancels it.
 func (r *Request) shedFacts() rules.RequestFacts {
-	facts := rules.RequestFacts{Answered: r.finished, Effect: r.group.effect}
+	facts := rules.RequestFacts{Finished: r.finished, Effect: r.group.effect}
 	for _, a := range r.attempts[:r.attemptCount] {
 		if a.finished && !a.result.NeverRan() || !a.finished && a.Worker.transport.FullySent(a) {
 			facts.MayHaveRun = true
@@ -40,8 +41,8 @@
 	return facts
 }
 
-// dedupDeadline returns when workers cease to drop a repeat, counted from the first attempt that may have run; +Inf if
-// none may have, or if repeats are harmless.
+// dedupDeadline returns when workers cease to drop a repeat of an attempt that may have run, +Inf if none may have or the
+// group is not deduplicated.
 func dedupDeadline(facts rules.RequestFacts) float64 {
 	if facts.Effect == control.Deduplicated && facts.MayHaveRun {
 		return facts.DedupUntil
@@ -65,21 +66,21 @@
 // isReady reports whether new work may be sent to a worker.
 func (w *Worker) isReady() bool { return w.State == control.Ready }
 
-// CheckFirstByte returns rules.Allowed if the first byte of an attempt may be sent at now, in a message whose deadline was encoded
-// at encodedAt and that has been encoded again so many times. What it forbids is counted as held back: events overtook the
-// attempt in the send queue, which is no fault.
+// CheckFirstByte returns rules.Allowed if the first byte of an attempt may be sent at now, in a message whose deadline was
+// encoded at encodedAt and has been renewed so many times. An attempt that it forbids counts as held back: the facts have
+// changed while it was in the send queue, which is no fault.
 func (a *Attempt) CheckFirstByte(now, encodedAt float64, renewals int) rules.Reason {
 	facts := a.Request.attemptFacts(a.Worker, a.Index)
 	facts.DedupUntil = a.SendDeadline
 	reason := rules.CheckFirstByte(now, encodedAt, renewals, facts, a.Worker.isReady())
 	if reason != rules.Allowed {
-		a.gateway.Metrics.heldBack.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
+		a.gateway.Metrics.heldBackAttempts.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
 		a.gateway.RecordEvent("attempt_held_back", reason.String(), a.Request, a.Worker, now-encodedAt)
 	}
 	return reason
 }
 
-// recordViolation counts and logs an action of the control module that a rule forbids; it is not carried out. The request
+// recordViolation counts and logs an action of the control module that a rule forbids and that is not executed. The request
 // and the worker may be nil.
 func (g *Gateway) recordViolation(reason rules.Reason, action string, r *Request, w *Worker) {
 	g.Metrics.violations.WithLabelValues(ruleNames[reason.Rule()], reason.String()).Inc()
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,8 +8,8 @@
 
 const (
 	shutdownPollInterval = 0.01 // s between checks whether the shutdown is complete
-	finalFlushDelay      = 0.1  // s after the last final response for the kernel to send it
-	lingerTimeout        = 1.5  // s after the last final response for clients to read it
+	finalFlushDelay      = 0.1  // s that the kernel has to send the last final response
+	lingerTimeout        = 1.5  // s that clients have to read the last final response and close their connections
 )
 
 // ExitStatus is how a gateway ended.
@@ -37,7 +37,7 @@
 	g.continueShutdown()
 }
 
-// continueShutdown stops the loop when everything is complete, and checks again soon otherwise.
+// continueShutdown stops the loop if the shutdown is complete, and otherwise schedules the next check.
 func (g *Gateway) continueShutdown() {
 	now := g.Loop.Now()
 	if g.inFlight > 0 && now >= g.stopDeadline {
@@ -59,7 +59,7 @@
 }
 
 func (g *Gateway) graceExpired() {
-	failed := g.finishAll("the dispatcher is stopping")
+	failed := g.finishAllRequests("the dispatcher is stopping")
 	if failed > 0 {
 		g.exitStatus.FailedRequests += failed
 		g.log.Warn().Int("failed", failed).Msg("stop grace ran out; requests in flight ended")
@@ -88,8 +88,8 @@
 	return false
 }
 
-// finishAll gives each request in flight its final response, and returns how many there were.
-func (g *Gateway) finishAll(why string) int {
+// finishAllRequests gives each request in flight its final response, and returns how many there were.
+func (g *Gateway) finishAllRequests(why string) int {
 	count := 0
 	for _, r := range g.requests {
 		if !r.inUse || r.finished {
@@ -97,7 +97,7 @@
 		}
 		count++
 		if g.exitStatus.PanicMessage != "" {
-			g.failRequest(r, false, why)
+			g.failRequest(r, why)
 		} else {
 			g.finishAtShutdown(r, why)
 		}
@@ -111,7 +111,7 @@
 func (g *Gateway) finishAtShutdown(r *Request, why string) {
 	harmless := r.streamingAttempt == nil && (r.group.effect == control.Retriable || !r.shedFacts().MayHaveRun)
 	if !harmless {
-		g.failRequest(r, false, why)
+		g.failRequest(r, why)
 		return
 	}
 	g.shedRequest(r, 0)
--- a/internal/gateway/worker_response.go
+++ b/internal/gateway/worker_response.go
@@ -10,13 +10,13 @@
 	"mastchute/internal/httpconn"
 )
 
-// Pure functions that interpret HTTP/1.1 responses of workers.
+// This file interprets HTTP/1.1 responses of workers. Its functions are pure.
 
-const markPrefix = "mastchute-" // of the header fields that the gateway, workers and clients exchange about a request
+const headerPrefix = "mastchute-" // of the headers that the gateway, workers and clients exchange about a request
 
 const maxDecimalLen = 24 // bytes of a decimal number in a header field
 
-// responseMetadata is what the head of a worker's response reports beside the response itself.
+// responseMetadata is what the head of a worker's response reports about the request, the model and the worker.
 type responseMetadata struct {
 	WorkerResponse
 	startEpoch  float64 // start of the worker's process, seconds since 1970; 0 if not reported
@@ -25,7 +25,7 @@
 	loadSeconds float64 // time to load the model; 0 if not reported
 }
 
-// rejection is what a response says about why the worker rejected a request.
+// rejection is what a 503 response reports about the reason.
 type rejection struct {
 	notRun         bool // the request did not run
 	modelNotLoaded bool
@@ -43,8 +43,8 @@
 			metadata.LoadReportLen = parseLoadReport(value, reportFields, metadata.LoadReport[:])
 			continue
 		}
-		if hasMarkPrefix(name) {
-			metadata.readMark(name[len(markPrefix):], value, &rejected)
+		if isMastchuteHeader(name) {
+			metadata.readHeader(name[len(headerPrefix):], value, &rejected)
 		}
 	}
 	switch {
@@ -60,13 +60,13 @@
 	return metadata
 }
 
-// hasMarkPrefix reports whether a header name is Mastchute- and something.
-func hasMarkPrefix(name []byte) bool {
-	return len(name) > len(markPrefix) && httpcodec.EqualsLower(name[:len(markPrefix)], markPrefix)
+// isMastchuteHeader reports whether the name of a header has the prefix Mastchute- and more.
+func isMastchuteHeader(name []byte) bool {
+	return len(name) > len(headerPrefix) && httpcodec.EqualsLower(name[:len(headerPrefix)], headerPrefix)
 }
 
-// readMark reads one header field; name comes without its prefix.
-func (m *responseMetadata) readMark(name, value []byte, rejected *rejection) {
+// readHeader reads a Mastchute- header; name is without the prefix.
+func (m *responseMetadata) readHeader(name, value []byte, rejected *rejection) {
 	switch {
 	case httpcodec.EqualsLower(name, "ran"):
 		rejected.notRun = httpcodec.EqualsLower(value, "no")
@@ -89,7 +89,7 @@
 	}
 }
 
-// readModelState reads the state in which the request found its model. An unknown state changes nothing.
+// readModelState reads the state in which the request found its model. It ignores an unknown state.
 func (m *responseMetadata) readModelState(value []byte) {
 	switch string(value) {
 	case "warm":
@@ -181,9 +181,8 @@
 	return i
 }
 
-// resultOfError returns what a call that ended without a response proves: it did not run if no byte of it was written,
-// and may have run otherwise. That includes a kept connection that the worker was closing: once a byte was written to it,
-// the attempt may have run.
+// resultOfError returns the result of a call that ended without a response: it did not run if no byte of it was written, and
+// may have run otherwise. The latter includes a call on a reused connection that the worker was closing.
 func resultOfError(err error, anyByteSent bool) control.Result {
 	if anyByteSent {
 		return control.ConnectionReset
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -9,8 +9,8 @@
 	"mastchute/internal/membership"
 )
 
-// The endpoint list: package membership merges its sources; here each worker gets its transport, is asked for its start,
-// and is announced to the control module.
+// This file applies the endpoint list, whose sources package membership merges: each worker gets a transport, is probed for
+// its start time, and is announced to the control module.
 
 // MembershipEntries returns configured workers as entries of the endpoint list.
 func MembershipEntries(workers []config.Worker) ([]membership.Entry, error) {
@@ -75,7 +75,7 @@
 	g.Metrics.listFailures.Inc()
 }
 
-// applyWorkerChanges brings the transports in line with members of the list that have changed, and announces them.
+// applyWorkerChanges updates the transports of list members that have changed, and announces them to the control module.
 func (g *Gateway) applyWorkerChanges(changed []*membership.Worker) {
 	var announce []*Worker
 	for _, member := range changed {
@@ -84,7 +84,7 @@
 			Uint32("version", member.Version).Stringer("from", member.Source).Msg("worker listed")
 		g.RecordEvent("worker_changed", member.StateName(), nil, w, w.StartedAt)
 		if member.State != control.Ready {
-			w.transport.FailUnsent() // what waits for a connection must not be sent any more
+			w.transport.FailUnsent() // a worker that is not ready must receive nothing new
 		}
 		if member.State == control.Gone {
 			w.transport.CloseIdle()
@@ -110,7 +110,7 @@
 	if w == nil {
 		w = &Worker{Worker: member, metrics: g.Metrics.forWorker(member.Name)}
 		g.workers[member.ID] = w
-	} else { // another process, of which nothing is known
+	} else { // another process at this address, or this worker at another one
 		w.transport.Close()
 		w.transport.FailUnsent()
 		if w.startupProbeCall != nil {
@@ -123,7 +123,7 @@
 	return w
 }
 
-// sendStartupProbe asks a ready worker for its start, unless it is being asked.
+// sendStartupProbe probes a ready worker for its start time, unless such a probe is in flight.
 func (g *Gateway) sendStartupProbe(w *Worker) {
 	if w.startupProbeCall != nil || w.State != control.Ready {
 		return
@@ -133,8 +133,8 @@
 	g.sendControlCall(w.startupProbeCall, probeTimeout)
 }
 
-// finishStartupProbe announces a worker once its start is known or could not be learned, and schedules another probe if
-// it did not respond.
+// finishStartupProbe announces a worker after a startup probe, with or without a known start time, and schedules another
+// probe if it did not respond.
 func (g *Gateway) finishStartupProbe(w *Worker, succeeded bool) {
 	retryAfter := w.ProbeFinished(succeeded, g.random.Float64())
 	if retryAfter > 0 && w.State == control.Ready {
@@ -150,7 +150,8 @@
 	}
 }
 
-// observeStart records the start time that a worker reports, in seconds since 1970. A restart makes it an empty worker.
+// observeStart records the start time that a worker reports, in seconds since 1970, and notifies the control module of a
+// restart, which leaves no models loaded.
 func (g *Gateway) observeStart(w *Worker, epoch float64) {
 	if epoch <= 0 || epoch == w.Worker.Epoch || w.StartProvided {
 		return
@@ -182,7 +183,7 @@
 	g.deliver(func(module control.Module) { module.UpdateWorkers(control.ListDelta, g.Members.Version, infos) })
 }
 
-// sendWorkerList passes the whole list of announced workers to the control module.
+// sendWorkerList passes the complete list of announced workers to the control module.
 func (g *Gateway) sendWorkerList(kind control.WorkerListKind) {
 	var infos []control.WorkerInfo
 	for _, member := range g.Members.All() {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -43,15 +43,15 @@
 	Weight float64
 	State  control.WorkerState
 
-	// StartProvided is set by a source that knows when workers started: then the fields below are valid, and the worker
-	// itself is not asked.
+	// StartProvided is set by a source that knows when workers started. The fields below are valid then, and the worker
+	// itself is not probed.
 	StartProvided  bool
 	Epoch          float64 // its latest start in seconds since 1970; 0 for long ago
 	StartedAt      float64 // the same on the dispatcher's clock; -Inf for long ago
-	StartNotBefore float64 // when the source would have listed an earlier start already
+	StartNotBefore float64 // the start is known to be no earlier, as the source would have listed it before
 }
 
-// Worker is a worker as all sources together list it. The exported fields are for reading only.
+// Worker is a worker as all sources list it. The exported fields are for reading only.
 type Worker struct {
 	Entry
 	ID        control.WorkerID
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("worker %q is listed at %s: its address is changed where it is listed", e.Name, e.Listed)
 }
 
-// List is the endpoint list. Make it by New.
+// List is the endpoint list. New makes one.
 type List struct {
 	Version uint32 // counts the changes
 
@@ -149,8 +149,8 @@
 	return w
 }
 
-// Replace replaces all that a source lists, and returns the workers that have changed. On an IDCollisionError nothing
-// changes.
+// Replace replaces all entries of a source, and returns the workers that have changed. It changes nothing if it returns an
+// error, an IDCollisionError.
 func (l *List) Replace(source Source, entries []Entry, now float64) ([]*Worker, error) {
 	nameByID := map[control.WorkerID]string{}
 	for _, e := range entries {
@@ -174,8 +174,8 @@
 	return l.mergeSources(now), nil
 }
 
-// Update sets some entries of a source, which keeps its others, and returns the workers that have changed. On an
-// IDCollisionError nothing changes.
+// Update adds or replaces some entries of a source, and returns the workers that have changed. It changes nothing if it
+// returns an error, an IDCollisionError.
 func (l *List) Update(source Source, entries []Entry, now float64) ([]*Worker, error) {
 	for _, e := range entries {
 		if err := l.checkID(e.Name); err != nil {
@@ -189,8 +189,8 @@
 }
 
 // SetAdminState sets the state of a worker as the admin interface requests it, and returns the workers that have changed.
-// An entry with an address lists the worker too, which one that is not listed needs. The error is an UnlistedWorkerError,
-// IDCollisionError or AddressConflictError, and nothing changes.
+// An entry with an address also lists the worker; one that no source lists needs it. SetAdminState changes nothing if it
+// returns an error: an UnlistedWorkerError, IDCollisionError or AddressConflictError.
 func (l *List) SetAdminState(entry Entry, now float64) ([]*Worker, error) {
 	w := l.ByName(entry.Name)
 	isListed := w != nil && w.Listed
@@ -216,10 +216,10 @@
 	return l.mergeSources(now), nil
 }
 
-// EvictGone drops the workers that have been gone since before a time and that mayEvict allows to drop.
-func (l *List) EvictGone(since float64, mayEvict func(*Worker) bool) {
+// EvictGone removes the workers that have been gone since before a time, if mayEvict allows it.
+func (l *List) EvictGone(before float64, mayEvict func(*Worker) bool) {
 	l.sorted = slices.DeleteFunc(l.sorted, func(w *Worker) bool {
-		if w.State != control.Gone || w.ChangedAt >= since || w.hasAdminState || !mayEvict(w) {
+		if w.State != control.Gone || w.ChangedAt >= before || w.hasAdminState || !mayEvict(w) {
 			return false
 		}
 		delete(l.byID, w.ID)
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// setEntry sets what a source lists of a worker. mergeSources brings it into effect.
+// setEntry sets a source's entry of a worker. It takes effect with mergeSources.
 func (l *List) setEntry(source Source, entry Entry) {
 	id := l.idOf(entry.Name)
 	w := l.byID[id]
@@ -270,7 +270,9 @@
 
 // mergeWorker merges the entries of a worker, and reports whether it has changed.
 func (l *List) mergeWorker(w *Worker, now float64) bool {
-	before, wasListed, addrBefore := w.info, w.Listed, w.Addr
+	before := w.info
+	wasListed := w.Listed
+	addrBefore := w.Addr
 	isKnown := w.Version > 0
 	w.State = w.mergeEntries()
 	if w.StartProvided {
@@ -333,9 +335,8 @@
 	}
 }
 
-// Advertised returns the worker as the control module is to see it. One that is ready again is shown as draining until a
-// startup probe has finished: a worker that drained has often ended, and a new process at its address must not be taken
-// for the previous one with its models loaded.
+// Advertised returns the worker's entry for the control module. A worker that is ready again is advertised as draining until
+// a startup probe has finished: after a drain its process has often been replaced, and the new one holds no models.
 func (w *Worker) Advertised() control.WorkerInfo {
 	info := w.info
 	if w.withheld {
@@ -369,5 +370,5 @@
 	return isRestart
 }
 
-// StateName returns the state as operators read and write it.
+// StateName returns the name of the state in logs, /status and the admin interface.
 func (w *Worker) StateName() string { return [...]string{"gone", "ready", "draining"}[w.State] }
--- a/internal/membership/start_history.go
+++ b/internal/membership/start_history.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	maxEarlierStarts = 4   // earlier starts remembered per worker, so that a late response or event is not taken for a restart
+	maxEarlierStarts = 4   // earlier starts stored per worker, so that a late response or event with one does not count as a restart
 	maxClockSkew     = 0.5 // s by which the clocks of two machines may differ without one of them being wrong
 )
 
@@ -14,8 +14,8 @@
 
 // ToMonotonic returns the time of a worker's start, reported in seconds since 1970, on the dispatcher's clock. The clock
 // of the reporter may have been stepped like the dispatcher's own, or not. The later of the two readings that is not in
-// the future applies: a worker that is taken for younger than it is gets too little work for a while, one that is taken
-// for older gets too much. If both are in the future, it is now.
+// the future applies, as the error is safer on that side: a worker that seems younger than it is gets too little work for a
+// while, one that seems older gets too much. If both are in the future, ToMonotonic returns now.
 func (c WallClock) ToMonotonic(epoch, now float64) float64 {
 	startedAt := math.Inf(-1)
 	for _, offset := range [...]float64{c.OffsetAtStart, c.OffsetNow} {
@@ -32,15 +32,15 @@
 
 // startHistory is what is known of a worker's starts before the latest one.
 type startHistory struct {
-	known        bool    // a start was reported, be it as long ago
+	known        bool    // a start was reported, even if only as long ago
 	observedAt   float64 // when the latest start was first reported
 	earlier      [maxEarlierStarts]float64
-	earlierCount int // starts entered in earlier so far; it is a ring
+	earlierCount int // starts written to earlier, which is a ring buffer
 }
 
 // recordStart records a reported start, and reports whether it differs from those known. epoch is in seconds since 1970;
 // startedAt is the same on the dispatcher's clock. A start that would be from before the previous one was observed, or
-// from before notBefore, was reported by a wrong clock: it is taken to be now.
+// from before notBefore, was reported by a wrong clock, and now is recorded instead.
 func (w *Worker) recordStart(epoch, startedAt, notBefore, now float64) bool {
 	history := &w.startHistory
 	if epoch <= 0 || epoch == w.Epoch || history.isEarlier(epoch) {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// isEarlier reports whether a start is one of those remembered from before the latest.
+// isEarlier reports whether a start is one of the stored ones before the latest.
 func (h *startHistory) isEarlier(epoch float64) bool {
 	for _, earlier := range h.earlier[:min(h.earlierCount, maxEarlierStarts)] {
 		if earlier == epoch {
--- a/internal/membership/startup_probe.go
+++ b/internal/membership/startup_probe.go
@@ -3,13 +3,14 @@
 import "math"
 
 const (
-	minProbeBackoff = 0.1 // s from a probe without a response to the next; a restart takes longer
-	maxProbeBackoff = 2.0 // s between probes at most: restarted workers warm up over seconds
+	minProbeBackoff = 0.1 // s until the next probe after one without a response; a restart takes longer
+	maxProbeBackoff = 2.0 // s, the longest backoff; restarted workers are in slow start for seconds
 )
 
-// StartupProbe decides when to probe a worker for its start: after connections to it were lost, which mostly means that
-// its process ended, and then until it responds. It probes at most once for what was sent since the previous probe, so that
-// a worker that closes idle connections is not probed forever. Its zero value is ready to use.
+// StartupProbe schedules the probes of a worker for its start time. A worker is probed after it has closed a connection,
+// which mostly means that its process has ended, and then until it responds. It is probed again only if an attempt was sent
+// since the previous probe, so that a worker that closes idle connections is not probed forever. The zero value is ready to
+// use.
 type StartupProbe struct {
 	pending        bool // a probe is in flight or scheduled
 	sentSinceProbe bool
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,11 +1,12 @@
-// Package rules decides whether the rules allow an act towards a client or a worker now: making an attempt, sending its
-// first byte or the rest of it, shedding a request, ordering a load, closing a connection; and which deadline to pass on.
+// Package rules decides whether the rules allow an action towards a client or a worker now: making an attempt, sending its
+// first byte or the rest of it, shedding a request, sending a load request, closing a connection; and which deadline a worker
+// gets.
 // Rule 1: each request gets one final response, by the deadline. Rule 2: what must not run twice does not. Rule 3: a worker
 // that is draining or gone gets nothing new.
 //
-// It is pure: state and time go in, Allowed or a typed reason comes out. Package control decides which act is best; what
-// is forbidden is forbidden here, whatever was decided. control has similar checks of its own, so that it does not choose
-// what would be refused; they are kept apart on purpose, as a fault there must not pass here too.
+// Its functions are pure: they return Allowed or a typed reason, given the facts and the time. Package control decides which
+// action is best; this package forbids some whatever was decided. control has similar checks of its own, so that it does not
+// choose a forbidden action. They are separate on purpose: a fault in one must not disable the other.
 package rules
 
 import (
@@ -15,26 +16,27 @@
 )
 
 const (
-	// MinDeadlineMillis is the shortest deadline, in ms, that is passed to a worker: 0 would mean none to some.
+	// MinDeadlineMillis is the shortest deadline, in ms, that a worker gets: some workers take 0 for no deadline.
 	MinDeadlineMillis = 1
-	// MaxDeadlineAge is how old, in seconds, an encoded deadline may be when its message is sent. Rule 1 allows 0.15.
+	// MaxDeadlineAge is how old, in seconds, an encoded deadline may be when its message is sent. Rule 1 allows 0.15; the
+	// difference is a margin for the transmission.
 	MaxDeadlineAge = 0.05
 	// MaxPartialAge is how old, in seconds, a deadline may be when the rest of its message is sent: the part with the
 	// deadline has been sent and cannot be encoded again.
 	MaxPartialAge = 0.1
 
 	// maxRenewals is how often a message is encoded again because its deadline is stale. After that MaxPartialAge
-	// applies instead of MaxDeadlineAge, so that a dispatcher that is slow itself still makes progress.
+	// applies instead of MaxDeadlineAge, so that a dispatcher that is itself slow still makes progress.
 	maxRenewals = 3
 )
 
-// Reason is why an act is not allowed. Its text is a value of a metric label.
+// Reason is why an action is forbidden. Its text is a value of a metric label.
 type Reason uint8
 
 // The reasons, with the number of the rule that each stems from.
 const (
-	Allowed            Reason = iota // no rule forbids the act
-	AlreadyAnswered                  // rule 1: the final response is given, or the client has disconnected
+	Allowed            Reason = iota // no rule forbids the action
+	AlreadyFinished                  // rule 1: the final response is given, or the client has disconnected
 	DeadlineExceeded                 // rule 1: the client's deadline has passed
 	WorkerNotReady                   // rule 3: the worker is draining or gone
 	MayHaveRun                       // rule 2: an earlier attempt may have run, and the request must not run twice
@@ -54,7 +56,7 @@
 // Rule returns the number of the rule that the reason stems from, 0 for Allowed.
 func (r Reason) Rule() int {
 	switch r {
-	case AlreadyAnswered, DeadlineExceeded, StaleDeadline, ResponseOwed:
+	case AlreadyFinished, DeadlineExceeded, StaleDeadline, ResponseOwed:
 		return 1
 	case MayHaveRun, OutsideDedupScope, DedupWindowExpired:
 		return 2
@@ -64,22 +66,22 @@
 	return 0
 }
 
-// RequestFacts are the facts about a request that bear on its attempts and its final response. Times are seconds of one
+// RequestFacts are the facts about a request that decide whether it may be attempted or shed. Times are seconds of one
 // monotonic clock.
 type RequestFacts struct {
-	Answered     bool           // the final response is given, or the client has disconnected
+	Finished     bool           // the final response is given, or the client has disconnected
 	Deadline     float64        // the client's
 	Effect       control.Effect // of running the request
 	MayHaveRun   bool           // an earlier attempt is in flight or may have run
-	DedupUntil   float64        // when workers cease to drop repeats of it
-	InDedupScope bool           // the worker in question drops repeats of it
+	DedupUntil   float64        // when workers cease to drop repeats of the request
+	InDedupScope bool           // the worker of the new attempt drops repeats of the earlier ones
 }
 
-// CheckAttempt returns Allowed if an attempt may be made at a worker, and else the reason why not.
+// CheckAttempt returns Allowed if an attempt may be made at a worker.
 func CheckAttempt(now float64, request RequestFacts, workerReady bool) Reason {
 	switch {
-	case request.Answered:
-		return AlreadyAnswered
+	case request.Finished:
+		return AlreadyFinished
 	case !workerReady:
 		return WorkerNotReady
 	case now > request.Deadline:
@@ -121,18 +123,18 @@
 	return Allowed
 }
 
-// CheckShed returns Allowed if a client may be told that a retry is harmless.
+// CheckShed returns Allowed if a request may be shed, which promises the client that a retry is harmless.
 func CheckShed(request RequestFacts) Reason {
 	switch {
-	case request.Answered:
-		return AlreadyAnswered
+	case request.Finished:
+		return AlreadyFinished
 	case request.MayHaveRun && request.Effect == control.NonRetriable:
 		return MayHaveRun
 	}
 	return Allowed
 }
 
-// CheckLoad returns Allowed if a load may be ordered at a worker.
+// CheckLoad returns Allowed if a load request may be sent to a worker.
 func CheckLoad(workerReady bool) Reason {
 	if !workerReady {
 		return WorkerNotReady
@@ -140,7 +142,7 @@
 	return Allowed
 }
 
-// CheckClose returns Allowed if a client's connection may be closed that is not at fault.
+// CheckClose returns Allowed if the connection of a client that is not at fault may be closed.
 func CheckClose(responsesOwed int) Reason {
 	if responsesOwed > 0 {
 		return ResponseOwed
@@ -148,7 +150,7 @@
 	return Allowed
 }
 
-// WorkerDeadlineMillis returns the deadline to pass to a worker: the time that the client has left, in ms.
+// WorkerDeadlineMillis returns the deadline that a worker gets: the time until the client's deadline, in ms.
 func WorkerDeadlineMillis(now, clientDeadline float64) int64 {
 	return int64(math.Max(MinDeadlineMillis, math.Floor((clientDeadline-now)*1e3)))
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -8,7 +8,7 @@
 
 var (
 	fresh        = RequestFacts{Deadline: 10}
-	answered     = RequestFacts{Deadline: 10, Answered: true}
+	answered     = RequestFacts{Deadline: 10, Finished: true}
 	retriable    = RequestFacts{Deadline: 10, Effect: control.Retriable, MayHaveRun: true}
 	nonRetriable = RequestFacts{Deadline: 10, Effect: control.NonRetriable, MayHaveRun: true}
 	deduplicated = RequestFacts{Deadline: 10, Effect: control.Deduplicated, MayHaveRun: true, DedupUntil: 3, InDedupScope: true}
@@ -24,7 +24,7 @@
 		want        Reason
 	}{
 		{"first attempt", 1, fresh, true, Allowed},
-		{"answered", 1, answered, true, AlreadyAnswered},
+		{"answered", 1, answered, true, AlreadyFinished},
 		{"draining worker", 1, fresh, false, WorkerNotReady},
 		{"after the deadline", 10.1, fresh, true, DeadlineExceeded},
 		{"retry of a non-retriable request", 1, nonRetriable, true, MayHaveRun},
@@ -76,7 +76,7 @@
 	}{
 		{"non-retriable that may have run", RequestFacts{Effect: control.NonRetriable, MayHaveRun: true}, MayHaveRun},
 		{"non-retriable that never ran", RequestFacts{Effect: control.NonRetriable}, Allowed},
-		{"answered", RequestFacts{Answered: true}, AlreadyAnswered},
+		{"answered", RequestFacts{Finished: true}, AlreadyFinished},
 		{"deduplicated that may have run", RequestFacts{Effect: control.Deduplicated, MayHaveRun: true}, Allowed},
 	} {
 		if got := CheckShed(c.request); got != c.want {
