--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -5,46 +5,46 @@
 	"testing"
 )
 
-// answeringHost keeps the attempts to be answered, counts the requests that are shed or failed, and ignores other actions.
-type answeringHost struct {
-	now     Seconds
-	sent    []AttemptResult
-	dueAt   []Seconds // when each of them is to be answered
-	refused int
+// respondingHost keeps the attempts that are in flight, counts the requests that are shed or failed, and ignores other actions.
+type respondingHost struct {
+	now      Seconds
+	sent     []AttemptResult
+	dueAt    []Seconds // when the response to each of them is due
+	rejected int
 }
 
-func (h *answeringHost) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
+func (h *respondingHost) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
 	h.dueAt = append(h.dueAt, h.now+0.05)
 	h.sent = append(h.sent, AttemptResult{ID: id, Worker: w, Duration: 0.05, ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true})
 }
-func (h *answeringHost) Shed(RequestID, Seconds)          { h.refused++ }
-func (h *answeringHost) Fail(RequestID)                   { h.refused++ }
-func (h *answeringHost) CancelAttempt(RequestID, int)     {}
-func (h *answeringHost) LoadModel(WorkerID, ModelID, int) {}
-func (h *answeringHost) UnloadModel(WorkerID, ModelID)    {}
-func (h *answeringHost) ProbeWorker(WorkerID)             {}
-func (h *answeringHost) CloseIdleConnections(WorkerID)    {}
-func (h *answeringHost) SendPeerMessage(PeerID, []byte)   {}
-func (h *answeringHost) SubscribeWorkerList(bool)         {}
-func (h *answeringHost) FetchWorkerList()                 {}
-func (h *answeringHost) SetTimer(Seconds, TimerID)        {}
-func (h *answeringHost) Log(string)                       {}
+func (h *respondingHost) Shed(RequestID, Seconds)          { h.rejected++ }
+func (h *respondingHost) Fail(RequestID)                   { h.rejected++ }
+func (h *respondingHost) CancelAttempt(RequestID, int)     {}
+func (h *respondingHost) LoadModel(WorkerID, ModelID, int) {}
+func (h *respondingHost) UnloadModel(WorkerID, ModelID)    {}
+func (h *respondingHost) ProbeWorker(WorkerID)             {}
+func (h *respondingHost) CloseIdleConnections(WorkerID)    {}
+func (h *respondingHost) SendPeerMessage(PeerID, []byte)   {}
+func (h *respondingHost) SubscribeWorkerList(bool)         {}
+func (h *respondingHost) FetchWorkerList()                 {}
+func (h *respondingHost) SetTimer(Seconds, TimerID)        {}
+func (h *respondingHost) Log(string)                       {}
 
 // benchmarkLoad is one dispatcher's part of a steady load of two requests in flight at each worker.
 type benchmarkLoad struct {
-	host     *answeringHost
-	d        *Dispatcher
-	workers  int
-	share    float64 // of the load, that this dispatcher receives
-	now      Seconds
-	id       RequestID
-	answered int // of host.sent
+	host      *respondingHost
+	d         *Dispatcher
+	workers   int
+	fraction  float64 // of the load that this dispatcher receives
+	now       Seconds
+	id        RequestID
+	responded int // of host.sent
 }
 
 func newBenchmarkLoad(workers, dispatchers int) *benchmarkLoad {
-	l := &benchmarkLoad{host: &answeringHost{}, workers: workers, share: 1}
+	l := &benchmarkLoad{host: &respondingHost{}, workers: workers, fraction: 1}
 	if dispatchers > 2 {
-		l.share = 0.01
+		l.fraction = 0.01
 	}
 	l.d = New(1, Settings{
 		Tick:             Some(0.001),
@@ -65,23 +65,23 @@
 	return l
 }
 
-// step plays one request and the answers that are due by then, and a sweep every 64 requests.
+// step plays one request and the responses that are due by then, and a sweep every 64 requests.
 func (l *benchmarkLoad) step() {
 	l.id++
-	l.now += 0.05 / (2 * float64(l.workers)) / l.share
+	l.now += 0.05 / (2 * float64(l.workers)) / l.fraction
 	l.host.now = l.now
 	l.d.SetNow(l.now)
 	l.d.RequestArrived(Request{ID: l.id, Model: ModelID(l.id % RequestID(2*l.workers)), Deadline: l.now + 5})
 	l.d.Reconcile()
-	for l.answered < len(l.host.dueAt) && l.host.dueAt[l.answered] <= l.now {
-		l.d.AttemptFinished(l.host.sent[l.answered])
+	for l.responded < len(l.host.dueAt) && l.host.dueAt[l.responded] <= l.now {
+		l.d.AttemptFinished(l.host.sent[l.responded])
 		l.d.Reconcile()
-		l.answered++
+		l.responded++
 	}
-	if l.answered > 4*l.workers { // drop the answered ones, keeping the memory
-		l.host.sent = l.host.sent[:copy(l.host.sent, l.host.sent[l.answered:])]
-		l.host.dueAt = l.host.dueAt[:copy(l.host.dueAt, l.host.dueAt[l.answered:])]
-		l.answered = 0
+	if l.responded > 4*l.workers { // drop those responded to, and keep the memory
+		l.host.sent = l.host.sent[:copy(l.host.sent, l.host.sent[l.responded:])]
+		l.host.dueAt = l.host.dueAt[:copy(l.host.dueAt, l.host.dueAt[l.responded:])]
+		l.responded = 0
 	}
 	if l.id%64 == 0 {
 		l.d.TimerFired(0)
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkRequest measures one request from arrival to its answer, without faults, by number of workers and dispatchers.
+// BenchmarkRequest measures one request from arrival to its response, without faults, by number of workers and dispatchers.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct{ workers, dispatchers int }{{16, 1}, {90, 1}, {1000, 1}, {16, 2}, {90, 2}, {1000, 2}, {90, 300}, {1000, 300}} {
 		b.Run(fmt.Sprintf("%d workers, %d dispatchers", c.workers, c.dispatchers), func(b *testing.B) {
@@ -102,7 +102,7 @@
 			for b.Loop() {
 				l.step()
 			}
-			b.ReportMetric(float64(l.host.refused)/float64(b.N), "shed/op")
+			b.ReportMetric(float64(l.host.rejected)/float64(b.N), "shed/op")
 		})
 	}
 }
--- a/control/eviction_test.go
+++ b/control/eviction_test.go
@@ -4,7 +4,7 @@
 
 // longRun drives one dispatcher through what months in service bring.
 type longRun struct {
-	host *answeringHost
+	host *respondingHost
 	d    *Dispatcher
 	now  Seconds
 	id   RequestID
@@ -24,8 +24,8 @@
 	l.after(1e-4, func() { l.d.RequestArrived(Request{ID: l.id, Model: m, Deadline: l.now + 60}) })
 }
 
-// answerAll answers the attempts in flight. Attempts that these answers cause are answered the next time.
-func (l *longRun) answerAll() {
+// respondToAll responds to the attempts in flight, but not to those that these responses cause.
+func (l *longRun) respondToAll() {
 	sent := l.host.sent
 	l.host.sent, l.host.dueAt = nil, nil
 	for _, result := range sent {
@@ -37,7 +37,7 @@
 
 // TestWhatWasSeenOnceIsForgotten checks that models, replaced workers and bursts do not occupy memory for ever.
 func TestWhatWasSeenOnceIsForgotten(t *testing.T) {
-	host := &answeringHost{}
+	host := &respondingHost{}
 	settings := Settings{
 		Tick:     Some(0.001),
 		Loads:    LoadSettings{KeepAlive: Some(8.0)},
@@ -66,7 +66,7 @@
 		for m := range 300 {
 			l.arrive(ModelID(m))
 		}
-		l.answerAll()
+		l.respondToAll()
 		l.sweep()
 	}
 	workers := &l.d.workers
@@ -90,19 +90,19 @@
 	for m := range 25_000 {
 		l.arrive(ModelID(1000 + m))
 		if m%100 == 0 {
-			l.answerAll()
+			l.respondToAll()
 			l.sweep()
 		}
 	}
-	l.answerAll()
+	l.respondToAll()
 	if len(l.d.models.byID) > maxModels+1 {
 		t.Errorf("%d models are kept", len(l.d.models.byID))
 	}
 }
 
-// burst requests one model many times, with no answer until all have arrived.
+// burst requests one model many times, with no response until all have arrived.
 func (l *longRun) burst(t *testing.T) {
-	shedBefore := l.host.refused
+	shedBefore := l.host.rejected
 	for range 3_000 {
 		l.arrive(5)
 	}
@@ -113,11 +113,11 @@
 		if i == 10_000 {
 			t.Fatalf("%d are in flight for ever", len(l.d.inFlight.byID))
 		}
-		l.answerAll()
+		l.respondToAll()
 		l.sweep()
 	}
 	l.sweep()
-	if len(l.d.inFlight.slots) > minRequestSlots || l.host.refused != shedBefore {
-		t.Errorf("%d slots of the table after the burst; %d shed", len(l.d.inFlight.slots), l.host.refused-shedBefore)
+	if len(l.d.inFlight.slots) > minRequestSlots || l.host.rejected != shedBefore {
+		t.Errorf("%d slots of the table after the burst; %d shed", len(l.d.inFlight.slots), l.host.rejected-shedBefore)
 	}
 }
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestWorkerChangeInTheSameBatchMovesTheAttempt has a request arrive in one batch with the event that its worker is
-// draining, gone or has started anew: the attempt is sent to the other worker.
+// draining, gone or has restarted: the attempt is sent to the other worker.
 func TestWorkerChangeInTheSameBatchMovesTheAttempt(t *testing.T) {
 	entry := func(w rune, state WorkerState, startedAt Seconds) WorkerInfo {
 		return WorkerInfo{ID: WorkerID(w), State: state, Weight: 1, StartedAt: startedAt}
@@ -17,7 +17,7 @@
 	}{
 		{"draining", func(w rune) WorkerInfo { return entry(w, Draining, math.Inf(-1)) }},
 		{"gone", func(w rune) WorkerInfo { return entry(w, Gone, math.Inf(-1)) }},
-		{"started anew", func(w rune) WorkerInfo { return entry(w, Ready, 10) }},
+		{"restarted", func(w rune) WorkerInfo { return entry(w, Ready, 10) }},
 	} {
 		p := &player{t: t, set: SettingValues{"groups": ListLength(1), "groups.0.name": "read", "groups.0.effect": "retriable", "groups.0.slo": 1.0,
 			"groups.0.timeout": 5.0, "rules.cold_share": 0.05, "rules.warm_after": 20.0, "dispatchers": 100.0}, variables: map[string]string{}, now: 1}
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -51,27 +51,27 @@
 	}
 }
 
-// TestFailureScope checks that a failure implicates one traffic class where the others were answered well lately, and the
+// TestFailureScope checks that a failure implicates one traffic class where others succeeded lately, and the
 // whole worker otherwise.
 func TestFailureScope(t *testing.T) {
 	w := &worker{outlierByClass: make([]outlierDetector, 3)}
 	if w.failureScope(1, 0) != &w.outlier {
-		t.Error("no answer at all: want the whole worker")
+		t.Error("no response at all: want the whole worker")
 	}
 	w.outlierByClass[1].recordResponse(5, true)
 	if w.failureScope(1, 0) != &w.outlier {
-		t.Error("an answer of the class itself only: want the whole worker")
+		t.Error("a response of the class itself only: want the whole worker")
 	}
 	w.outlierByClass[0].recordResponse(6, true)
 	if w.failureScope(1, 0) != &w.outlierByClass[1] {
-		t.Error("another class was answered well: want the class")
+		t.Error("another class succeeded: want the class")
 	}
 	if w.failureScope(1, 6) != &w.outlier {
-		t.Error("the answer of the other class is too old: want the whole worker")
+		t.Error("the response of the other class is too old: want the whole worker")
 	}
 	w.outlierByClass[2].recordResponse(7, false)
 	if w.failureScope(1, 0) != &w.outlier {
-		t.Error("the latest answer of another class was an error: want the whole worker")
+		t.Error("the latest response of another class was an error: want the whole worker")
 	}
 }
 
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -17,7 +17,7 @@
 //	arrive N [model=M group=G tenant=N deadline=T work=S load-time=S concurrency=N client-retry=1]
 //	                                   request N arrives; N may be a range: 1-20
 //	finish N.A RESULT [warm|load-started|load-awaited|load-failed]   attempt A of request N ends
-//	loaded WORKER MODEL RESULT REPLICAS   a load order ends
+//	loaded WORKER MODEL RESULT REPLICAS   a load request ends
 //	client-cancels N                   the client cancels request N
 //	discovery-failed                   a call to discovery fails
 //	wait S                             time passes, timers fire
@@ -300,7 +300,7 @@
 set models.on_miss load; set models.keep 8; set rules.warm_after 10; set rules.cold_share 0.2
 set rules.overload_factor 2; set rules.fall 1; set tick 0.002`
 
-// TestOrdinaryPathAllocatesNothing sends requests to a warm worker and answers them.
+// TestOrdinaryPathAllocatesNothing sends requests to a worker that has the model loaded, and responds to them.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	d := New(7, ParseSettings(newPlayer(t).set), quiet{})
 	list := []WorkerInfo{{ID: 1, State: Ready, StartedAt: math.Inf(-1)}, {ID: 2, State: Ready, StartedAt: math.Inf(-1)}}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestUnknownWords: an unknown word has the strictest default and is logged once.
+// TestUnknownWords checks that an unknown name of a mode has the strictest default and is logged once.
 func TestUnknownWords(t *testing.T) {
 	for name, value := range map[string]any{"discovery": "guess", "groups.0.effect": "purest", "groups.0.scope": 4.0, "models.on_miss": "ask"} {
 		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, name: value})
@@ -151,12 +151,12 @@
 		p.play("arrive 1-40 model=1 deadline=50")
 		p.play("wait 0.05")
 		if n := p.attempts(); n > 2 {
-			t.Errorf("%s: %d attempts at a cold worker at once", name, n)
+			t.Errorf("%s: %d attempts at a worker in slow start at once", name, n)
 		}
 	}
 }
 
-// TestValuesThatAreNoNumbers gives infinite values and values that are no numbers: the request is answered all the same,
+// TestValuesThatAreNoNumbers gives infinite values and NaN: the request has its final response all the same,
 // and a load report with one of them changes nothing.
 func TestValuesThatAreNoNumbers(t *testing.T) {
 	for _, q := range []Request{{Deadline: math.NaN()}, {Deadline: math.Inf(1)}, {Deadline: 3, LoadTimeHint: math.Inf(1)},
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestManyTenants: where model groups times tenants would fill the memory of each worker, tenants share one record.
+// TestManyTenants checks that tenants share one traffic class where model groups times tenants are too many.
 func TestManyTenants(t *testing.T) {
 	p := usualPlayer(t, func(s SettingValues) { s["tenants"] = 4000.0 })
 	p.play("workers A B")
--- a/control/settings_wire_test.go
+++ b/control/settings_wire_test.go
@@ -12,7 +12,7 @@
 	"mastchute/internal/simwire"
 )
 
-var updateSettings = flag.Bool("update-settings", false, "write testdata/settings/wire.golden anew: only where settings are meant to be read differently")
+var updateSettings = flag.Bool("update-settings", false, "write testdata/settings/wire.golden again: only where settings are meant to be read differently")
 
 // resolvedFromWire returns what a dispatcher makes of a settings text, as far as it differs from the defaults.
 func resolvedFromWire(t *testing.T, text string) []string {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -7,35 +7,35 @@
 	"testing"
 )
 
-// The rule of slow start in these runs, and their timing in seconds.
+// The slow start settings of these runs, and their timing in seconds.
 const (
-	coldOverloadWindow = 1.0
-	coldRamp           = 8.0
-	coldCapacity       = 0.25
-	coldOverloadFactor = 2.0
+	runOverloadWindow    = 1.0
+	runSlowStartDuration = 8.0
+	runInitialCapacity   = 0.25
+	runOverloadFactor    = 2.0
 
-	coldStartAt = 6.0 // when the cold workers start and are listed
-	coldRunEnd  = 12.0
-	coldStep    = 0.01
-	coldRunTime = 0.2 // of one request
-	coldProbe   = 0.002
+	runWorkersStartAt = 6.0 // when the workers in slow start start and are listed
+	runEnd            = 12.0
+	runStep           = 0.01
+	runRequestTime    = 0.2 // of one request
+	runProbeTime      = 0.002
 )
 
-// coldRun is a fleet of dispatchers in simulated time, with workers of which some start at once.
-type coldRun struct {
-	dispatchers, workers, cold int
-	rate                       float64 // requests/s for each worker, from all dispatchers
-	uneven                     bool    // some dispatchers receive several times the mean, most receive less
-	restart                    float64 // share of the dispatchers that start anew as the workers do
-	models                     int
-	price                      float64 // of a probe; at 0.08 none is sent
+// slowStartRun is a fleet of dispatchers in simulated time, with workers of which some start during the run.
+type slowStartRun struct {
+	dispatchers, workers, warmingUp int
+	rate                            float64 // requests/s for each worker, from all dispatchers
+	uneven                          bool    // some dispatchers receive several times the mean, most receive less
+	restart                         float64 // fraction of the dispatchers that restart at the same time as the workers
+	models                          int
+	price                           float64 // of a probe; at 0.08 none is sent
 }
 
-func (c coldRun) settings() Settings {
+func (c slowStartRun) settings() Settings {
 	return Settings{
 		Dispatchers: float64(c.dispatchers),
-		SlowStart: SlowStartSettings{InitialCapacity: Some(coldCapacity), Duration: coldRamp, OverloadFactor: coldOverloadFactor,
-			OverloadWindow: coldOverloadWindow},
+		SlowStart: SlowStartSettings{InitialCapacity: Some(runInitialCapacity), Duration: runSlowStartDuration, OverloadFactor: runOverloadFactor,
+			OverloadWindow: runOverloadWindow},
 		Loads:            LoadSettings{OnMiss: MissLoads, KeepAlive: Some(8.0)},
 		Attempts:         AttemptSettings{Max: 3, Hedging: true, Cancel: true},
 		Probes:           ProbeSettings{Allowed: true, Price: c.price},
@@ -45,9 +45,9 @@
 	}
 }
 
-// coldFleet is a run under way.
-type coldFleet struct {
-	coldRun
+// slowStartFleet is the state of a run.
+type slowStartFleet struct {
+	slowStartRun
 	seed        uint64
 	rnd         *rand.Rand
 	now         Seconds
@@ -58,22 +58,22 @@
 	inFlight    []float64   // at each worker
 }
 
-// fleetNode is one dispatcher of the fleet; what it sends is kept until the worker's answer is due.
+// fleetNode is one dispatcher of the fleet; what it sends is kept until the worker's response is due.
 type fleetNode struct {
 	Actions
-	fleet     *coldFleet
+	fleet     *slowStartFleet
 	d         *Dispatcher
 	startedAt Seconds
 	weight    float64 // of its traffic
 	now       Seconds // since startedAt
-	due       []dueAnswer
+	due       []dueResponse
 	timerSet  bool
 	lastID    RequestID
 	attempts  map[RequestID]int
 }
 
-// dueAnswer is an attempt or a probe that a worker will answer.
-type dueAnswer struct {
+// dueResponse is an attempt or a probe that a worker will respond to.
+type dueResponse struct {
 	at      Seconds
 	id      RequestID
 	attempt int
@@ -85,11 +85,11 @@
 	i := n.fleet.index[w]
 	n.fleet.sentAt[i] = append(n.fleet.sentAt[i], n.fleet.now)
 	n.fleet.inFlight[i]++
-	n.due = append(n.due, dueAnswer{at: n.now + coldRunTime, id: id, attempt: n.attempts[id], worker: w})
+	n.due = append(n.due, dueResponse{at: n.now + runRequestTime, id: id, attempt: n.attempts[id], worker: w})
 	n.attempts[id]++
 }
 func (n *fleetNode) ProbeWorker(w WorkerID) {
-	n.due = append(n.due, dueAnswer{at: n.now + coldProbe, worker: w, isProbe: true})
+	n.due = append(n.due, dueResponse{at: n.now + runProbeTime, worker: w, isProbe: true})
 }
 func (n *fleetNode) Shed(RequestID, Seconds)          {}
 func (n *fleetNode) Fail(RequestID)                   {}
@@ -98,8 +98,8 @@
 func (n *fleetNode) SubscribeWorkerList(bool)         {}
 func (n *fleetNode) SetTimer(Seconds, TimerID)        { n.timerSet = true }
 
-func newColdFleet(c coldRun, seed uint64) *coldFleet {
-	f := &coldFleet{coldRun: c, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), index: map[WorkerID]int{},
+func newSlowStartFleet(c slowStartRun, seed uint64) *slowStartFleet {
+	f := &slowStartFleet{slowStartRun: c, seed: seed, rnd: rand.New(rand.NewPCG(seed, 7)), index: map[WorkerID]int{},
 		sentAt: make([][]Seconds, c.workers), inFlight: make([]float64, c.workers)}
 	for i := range c.workers {
 		f.index[f.workerID(i)] = i
@@ -116,26 +116,26 @@
 	return f
 }
 
-func (f *coldFleet) workerID(i int) WorkerID { return WorkerID(hash(uint64(i) + f.seed<<20)) }
+func (f *slowStartFleet) workerID(i int) WorkerID { return WorkerID(hash(uint64(i) + f.seed<<20)) }
 
-// list returns the list of workers now, in the time of a dispatcher. The first ones are the cold ones.
-func (f *coldFleet) list(dispatcherStartedAt Seconds) []WorkerInfo {
+// list returns the endpoint list now, with times on a dispatcher's clock. The first workers are those in slow start.
+func (f *slowStartFleet) list(dispatcherStartedAt Seconds) []WorkerInfo {
 	var list []WorkerInfo
 	for i := range f.workers {
 		entry := WorkerInfo{ID: f.workerID(i), State: Ready, StartedAt: math.Inf(-1), Weight: 1}
-		if i < f.cold {
-			if f.now < coldStartAt {
+		if i < f.warmingUp {
+			if f.now < runWorkersStartAt {
 				continue
 			}
-			entry.StartedAt = coldStartAt - dispatcherStartedAt
+			entry.StartedAt = runWorkersStartAt - dispatcherStartedAt
 		}
 		list = append(list, entry)
 	}
 	return list
 }
 
-// start starts a dispatcher, anew or for the first time.
-func (f *coldFleet) start(n *fleetNode) {
+// start starts or restarts a dispatcher.
+func (f *slowStartFleet) start(n *fleetNode) {
 	n.startedAt, n.now, n.due, n.timerSet, n.attempts = f.now, 0, nil, false, map[RequestID]int{}
 	n.d = New(f.rnd.Uint64(), f.settings(), n)
 	n.d.SetNow(0)
@@ -143,8 +143,8 @@
 	n.d.Reconcile()
 }
 
-// addColdWorkers lists the cold workers, and restarts some dispatchers.
-func (f *coldFleet) addColdWorkers() {
+// addWorkersInSlowStart lists the workers in slow start, and restarts some dispatchers.
+func (f *slowStartFleet) addWorkersInSlowStart() {
 	for i, n := range f.nodes {
 		if float64(i) < f.restart*float64(len(f.nodes)) {
 			f.start(n)
@@ -156,8 +156,8 @@
 	}
 }
 
-// step plays one step of a dispatcher: the answers that are due, its timer, and arrivals.
-func (f *coldFleet) step(n *fleetNode) {
+// step plays one step of a dispatcher: the responses that are due, its timer, and arrivals.
+func (f *slowStartFleet) step(n *fleetNode) {
 	n.now = f.now - n.startedAt
 	busy := false
 	begin := func() {
@@ -174,93 +174,93 @@
 			continue
 		}
 		begin()
-		f.answer(n, answer)
+		f.respond(n, answer)
 	}
 	if n.timerSet {
 		begin()
 		n.timerSet = false
 		n.d.TimerFired(0)
 	}
-	mean := f.rate * float64(f.workers) * n.weight / f.totalWeight * coldStep
+	mean := f.rate * float64(f.workers) * n.weight / f.totalWeight * runStep
 	for p := f.rnd.ExpFloat64(); p < mean; p += f.rnd.ExpFloat64() {
 		begin()
 		n.lastID++
 		requested := ModelID(1 + int(float64(f.models)*math.Pow(f.rnd.Float64(), 2)))
-		n.d.RequestArrived(Request{ID: n.lastID, Model: requested, WorkHint: coldRunTime, LoadTimeHint: 1, Deadline: n.now + 5, Tenant: math.MaxUint16})
+		n.d.RequestArrived(Request{ID: n.lastID, Model: requested, WorkHint: runRequestTime, LoadTimeHint: 1, Deadline: n.now + 5, Tenant: math.MaxUint16})
 	}
 	if busy {
 		n.d.Reconcile()
 	}
 }
 
-func (f *coldFleet) answer(n *fleetNode, answer dueAnswer) {
+func (f *slowStartFleet) respond(n *fleetNode, answer dueResponse) {
 	i := f.index[answer.worker]
 	report := []float64{f.inFlight[i], 0}
 	if answer.isProbe {
-		n.d.ProbeFinished(ProbeResult{Worker: answer.worker, Result: Succeeded, Duration: coldProbe, LoadReport: report})
+		n.d.ProbeFinished(ProbeResult{Worker: answer.worker, Result: Succeeded, Duration: runProbeTime, LoadReport: report})
 		return
 	}
 	f.inFlight[i]--
-	n.d.AttemptFinished(AttemptResult{ID: answer.id, Attempt: answer.attempt, Worker: answer.worker, Duration: coldRunTime, Result: Succeeded,
+	n.d.AttemptFinished(AttemptResult{ID: answer.id, Attempt: answer.attempt, Worker: answer.worker, Duration: runRequestTime, Result: Succeeded,
 		ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true, LoadReport: report})
 }
 
-// worstShare returns the largest share of its limit that a cold worker was sent within any overload window.
-func (f *coldFleet) worstShare() float64 {
+// worstFraction returns the largest fraction of its limit that a worker in slow start was sent within any overload window.
+func (f *slowStartFleet) worstFraction() float64 {
 	worst := 0.0
-	for _, sentAt := range f.sentAt[:f.cold] {
+	for _, sentAt := range f.sentAt[:f.warmingUp] {
 		for last, at := range sentAt {
 			before := last
-			for before >= 0 && sentAt[before] > at-coldOverloadWindow {
+			for before >= 0 && sentAt[before] > at-runOverloadWindow {
 				before--
 			}
-			capacity := coldCapacity + (1-coldCapacity)*math.Min(1, (at-coldStartAt)/coldRamp)
-			limit := coldOverloadFactor * capacity * f.rate * coldOverloadWindow
+			capacity := runInitialCapacity + (1-runInitialCapacity)*math.Min(1, (at-runWorkersStartAt)/runSlowStartDuration)
+			limit := runOverloadFactor * capacity * f.rate * runOverloadWindow
 			worst = math.Max(worst, float64(last-before)/(limit+2*math.Sqrt(limit)+2))
 		}
 	}
 	return worst
 }
 
-// play plays a run and returns its worst share.
-func (c coldRun) play(seed uint64) float64 {
-	f := newColdFleet(c, seed)
+// play plays a run and returns its worst fraction.
+func (c slowStartRun) play(seed uint64) float64 {
+	f := newSlowStartFleet(c, seed)
 	added := false
-	for ; f.now < coldRunEnd; f.now += coldStep {
-		if !added && f.now >= coldStartAt {
+	for ; f.now < runEnd; f.now += runStep {
+		if !added && f.now >= runWorkersStartAt {
 			added = true
-			f.addColdWorkers()
+			f.addWorkersInSlowStart()
 		}
 		for _, n := range f.nodes {
 			f.step(n)
 		}
 	}
-	return f.worstShare()
+	return f.worstFraction()
 }
 
-// TestColdWorkersOverManyDraws checks rule 4 over many draws: the most that a cold worker is sent by all dispatchers
-// together, against what the settings allow it. Its capacity is taken to be the mean traffic, the least that a fleet in
-// order has. The tail of the shares of the limit counts.
+// TestColdWorkersOverManyDraws checks rule 4 over many draws: the most that a worker in slow start is sent by all
+// dispatchers together, as a fraction of what the settings allow. Its capacity is assumed to be the mean traffic, the least
+// that a fleet without overload has. The worst of the runs counts.
 func TestColdWorkersOverManyDraws(t *testing.T) {
 	draws := uint64(6)
 	for _, n := range []int{1, 2, 20, 30, 300} {
-		for _, c := range []coldRun{
-			{dispatchers: n, workers: 24, cold: 1, rate: 5, models: 30},
-			{dispatchers: n, workers: 24, cold: 12, rate: 5, models: 30, uneven: true},
-			{dispatchers: n, workers: 24, cold: 6, rate: 5, models: 30, uneven: true, restart: 0.7},
-			{dispatchers: n, workers: 60, cold: 20, rate: 2, models: 200, uneven: true, restart: 1},
-			{dispatchers: n, workers: 24, cold: 6, rate: 5, models: 30, uneven: true, restart: 0.7, price: 0.08},
+		for _, c := range []slowStartRun{
+			{dispatchers: n, workers: 24, warmingUp: 1, rate: 5, models: 30},
+			{dispatchers: n, workers: 24, warmingUp: 12, rate: 5, models: 30, uneven: true},
+			{dispatchers: n, workers: 24, warmingUp: 6, rate: 5, models: 30, uneven: true, restart: 0.7},
+			{dispatchers: n, workers: 60, warmingUp: 20, rate: 2, models: 200, uneven: true, restart: 1},
+			{dispatchers: n, workers: 24, warmingUp: 6, rate: 5, models: 30, uneven: true, restart: 0.7, price: 0.08},
 		} {
-			t.Run(fmt.Sprintf("%d,%d of %d,restart %g,price %g", n, c.cold, c.workers, c.restart, c.price), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d,%d of %d,restart %g,price %g", n, c.warmingUp, c.workers, c.restart, c.price), func(t *testing.T) {
 				t.Parallel()
 				worst, mean := 0.0, 0.0
 				for seed := range draws {
-					share := c.play(seed)
-					worst, mean = math.Max(worst, share), mean+share/float64(draws)
+					fraction := c.play(seed)
+					worst, mean = math.Max(worst, fraction), mean+fraction/float64(draws)
 				}
-				t.Logf("share of the limit: worst of %d draws %.2f, mean %.2f", draws, worst, mean)
+				t.Logf("fraction of the limit: worst of %d draws %.2f, mean %.2f", draws, worst, mean)
 				if worst > 1 {
-					t.Errorf("a cold worker received %.2f of its limit", worst)
+					t.Errorf("a worker in slow start received %.2f of its limit", worst)
 				}
 			})
 		}
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the traces anew: only where decisions are meant to change")
+var update = flag.Bool("update", false, "write the traces again: only where decisions are meant to change")
 
-// drawnWorld is a fleet drawn from a seed: it answers what the dispatcher does, well or badly, after a while.
-type drawnWorld struct {
+// simulatedFleet is a fleet drawn from a seed: it responds to the dispatcher's actions after some time, with successes and failures.
+type simulatedFleet struct {
 	rnd      *rand.Rand
 	d        *Dispatcher
 	now      Seconds
 	due      []dueEvent
 	lines    []string // what the dispatcher did
 	attempts map[RequestID]int
-	answered map[RequestID]bool
+	finished map[RequestID]bool
 
 	workers []WorkerInfo
 	models  int
@@ -35,15 +35,15 @@
 	event func()
 }
 
-func (w *drawnWorld) record(format string, args ...any) {
+func (w *simulatedFleet) record(format string, args ...any) {
 	w.lines = append(w.lines, fmt.Sprintf("%.4f ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *drawnWorld) after(delay Seconds, event func()) {
+func (w *simulatedFleet) after(delay Seconds, event func()) {
 	w.due = append(w.due, dueEvent{w.now + delay, event})
 }
 
-func (w *drawnWorld) SendAttempt(id RequestID, to WorkerID, _ Seconds) {
+func (w *simulatedFleet) SendAttempt(id RequestID, to WorkerID, _ Seconds) {
 	w.record("attempt %d %d", id, to)
 	number := w.attempts[id]
 	w.attempts[id]++
@@ -63,46 +63,46 @@
 			o.Duration += 0.5
 		}
 	}
-	if int(to)%7 == 3 && math.Mod(w.now, 6) > 4 { // silence now and then
+	if int(to)%7 == 3 && math.Mod(w.now, 6) > 4 { // no response for some time
 		o.Duration += 4
 	}
 	w.after(o.Duration, func() {
-		o.RequestAnswered = w.answered[id] || o.Result == Succeeded
-		w.answered[id] = o.RequestAnswered
+		o.RequestAnswered = w.finished[id] || o.Result == Succeeded
+		w.finished[id] = o.RequestAnswered
 		w.d.AttemptFinished(o)
 	})
 }
-func (w *drawnWorld) Shed(id RequestID, retryAfter Seconds) {
+func (w *simulatedFleet) Shed(id RequestID, retryAfter Seconds) {
 	w.record("shed %d %.4f", id, retryAfter)
-	w.answered[id] = true
+	w.finished[id] = true
 }
-func (w *drawnWorld) Fail(id RequestID)                 { w.record("fail %d", id); w.answered[id] = true }
-func (w *drawnWorld) CancelAttempt(id RequestID, n int) { w.record("cancel %d.%d", id, n) }
-func (w *drawnWorld) LoadModel(to WorkerID, m ModelID, replicas int) {
-	w.record("order %d %d %d", to, m, replicas) // the word of the kept traces
+func (w *simulatedFleet) Fail(id RequestID)                 { w.record("fail %d", id); w.finished[id] = true }
+func (w *simulatedFleet) CancelAttempt(id RequestID, n int) { w.record("cancel %d.%d", id, n) }
+func (w *simulatedFleet) LoadModel(to WorkerID, m ModelID, replicas int) {
+	w.record("order %d %d %d", to, m, replicas) // the name of the action in the kept traces
 	result := LoadResult{Worker: to, Model: m, Duration: 0.2 + w.rnd.Float64(), Replicas: 1}
 	if w.rnd.IntN(6) == 0 {
 		result.Result, result.Replicas = AtCapacity, 0
 	}
 	w.after(result.Duration, func() { w.d.LoadFinished(result) })
 }
-func (w *drawnWorld) UnloadModel(to WorkerID, m ModelID) { w.record("unload %d %d", to, m) }
-func (w *drawnWorld) ProbeWorker(to WorkerID) {
+func (w *simulatedFleet) UnloadModel(to WorkerID, m ModelID) { w.record("unload %d %d", to, m) }
+func (w *simulatedFleet) ProbeWorker(to WorkerID) {
 	w.record("probe %d", to)
 	w.after(0.003, func() { w.d.ProbeFinished(ProbeResult{Worker: to, LoadReport: []float64{float64(w.rnd.IntN(9)), 1}}) })
 }
-func (w *drawnWorld) CloseIdleConnections(WorkerID)  {}
-func (w *drawnWorld) SendPeerMessage(PeerID, []byte) {}
-func (w *drawnWorld) SubscribeWorkerList(on bool)    { w.record("subscribe %v", on) }
-func (w *drawnWorld) FetchWorkerList()               { w.record("fetch") }
-func (w *drawnWorld) SetTimer(delay Seconds, timer TimerID) {
+func (w *simulatedFleet) CloseIdleConnections(WorkerID)  {}
+func (w *simulatedFleet) SendPeerMessage(PeerID, []byte) {}
+func (w *simulatedFleet) SubscribeWorkerList(on bool)    { w.record("subscribe %v", on) }
+func (w *simulatedFleet) FetchWorkerList()               { w.record("fetch") }
+func (w *simulatedFleet) SetTimer(delay Seconds, timer TimerID) {
 	w.after(delay, func() { w.d.TimerFired(timer) })
 }
-func (w *drawnWorld) Log(string) {}
+func (w *simulatedFleet) Log(string) {}
 
-// newDrawnWorld draws a fleet, its settings and its traffic.
-func newDrawnWorld(seed uint64) *drawnWorld {
-	w := &drawnWorld{rnd: rand.New(rand.NewPCG(seed, 5)), attempts: map[RequestID]int{}, answered: map[RequestID]bool{}}
+// newSimulatedFleet draws a fleet, its settings and its traffic.
+func newSimulatedFleet(seed uint64) *simulatedFleet {
+	w := &simulatedFleet{rnd: rand.New(rand.NewPCG(seed, 5)), attempts: map[RequestID]int{}, finished: map[RequestID]bool{}}
 	workers, dispatchers := 4+w.rnd.IntN(40), []float64{1, 2, 40}[w.rnd.IntN(3)]
 	w.d = New(seed, drawSettings(w.rnd, dispatchers), w)
 	w.workers = make([]WorkerInfo, workers)
@@ -139,7 +139,7 @@
 }
 
 // arrive has a request arrive, and the next one after it. Some are cancelled by their client.
-func (w *drawnWorld) arrive() {
+func (w *simulatedFleet) arrive() {
 	w.lastID++
 	id := w.lastID
 	m := ModelID(float64(w.models) * math.Pow(w.rnd.Float64(), 2.5))
@@ -153,8 +153,8 @@
 	w.d.RequestArrived(arrival)
 	if w.rnd.IntN(25) == 0 {
 		w.after(0.3*w.rnd.Float64(), func() {
-			if !w.answered[id] {
-				w.answered[id] = true
+			if !w.finished[id] {
+				w.finished[id] = true
 				w.d.RequestCancelled(id)
 			}
 		})
@@ -163,7 +163,7 @@
 }
 
 // changeWorkers changes the state of one worker, and of another after a while.
-func (w *drawnWorld) changeWorkers() {
+func (w *simulatedFleet) changeWorkers() {
 	changed := &w.workers[w.rnd.IntN(len(w.workers))]
 	switch w.rnd.IntN(5) {
 	case 0:
@@ -179,9 +179,9 @@
 	w.after(w.rnd.ExpFloat64()*0.7, w.changeWorkers)
 }
 
-// playWorld plays one seed and returns what the dispatcher did. The function afterEvent, if any, is called after each event.
-func playWorld(seed uint64, afterEvent func(*drawnWorld)) []string {
-	w := newDrawnWorld(seed)
+// playFleet plays one seed and returns what the dispatcher did. The function afterEvent, if any, is called after each event.
+func playFleet(seed uint64, afterEvent func(*simulatedFleet)) []string {
+	w := newSimulatedFleet(seed)
 	w.after(0, w.arrive)
 	w.after(1, w.changeWorkers)
 	for len(w.due) > 0 && w.lastID < 1200 {
@@ -202,12 +202,12 @@
 // traceBlock is how many actions one line of a kept trace stands for: the line is their hash.
 const traceBlock = 200
 
-// TestTraces compares what the dispatcher does in drawn worlds, action by action, with what it did when the traces were
-// kept. A change that only makes it quicker must not change one of them.
+// TestTraces compares the dispatcher's actions in simulated fleets, one by one, with those of the kept traces. A change that
+// is not meant to change decisions must not change one of them.
 func TestTraces(t *testing.T) {
 	for seed := range uint64(40) {
 		file := fmt.Sprintf("testdata/traces/%02d.txt", seed)
-		lines := playWorld(seed, nil)
+		lines := playFleet(seed, nil)
 		hashes := hashBlocks(lines)
 		if *update {
 			os.MkdirAll("testdata/traces", 0o755)
