--- a/control/inflight.go
+++ b/control/inflight.go
@@ -25,10 +25,11 @@
 
 // lookup returns the record of a request, nil for an unknown one.
 func (t *requestTable) lookup(id RequestID) *request {
-	if slot, ok := t.byID[id]; ok {
-		return t.slots[slot]
+	slot, ok := t.byID[id]
+	if !ok {
+		return nil
 	}
-	return nil
+	return t.slots[slot]
 }
 
 // remove frees the slot of a request.
--- a/control/placement.go
+++ b/control/placement.go
@@ -261,7 +261,8 @@
 			rank |= rankHasCapacity
 		}
 		if best == nil || rank > highest {
-			best, highest = candidate, rank
+			best = candidate
+			highest = rank
 		}
 	}
 	return best
@@ -271,7 +272,8 @@
 // Ranks are hashes and so evenly distributed: of a long list, only the part above a rank is sorted that about 2*count
 // workers exceed.
 func topRanked(list []*worker, count int) []*worker {
-	if expected := 2*count + 16; len(list) > 2*expected {
+	expected := 2*count + 16
+	if len(list) > 2*expected {
 		threshold := ^uint64(0) / uint64(len(list)) * uint64(len(list)-expected)
 		above := 0
 		for i, w := range list {
--- a/control/request.go
+++ b/control/request.go
@@ -68,7 +68,8 @@
 // if it is marked so.
 func (r *request) tried(target *worker) bool {
 	for i := range r.attempts[:r.attempted] {
-		if a := &r.attempts[i]; a.worker == target && (a.state != attemptNeverRan || a.rejected) {
+		earlier := &r.attempts[i]
+		if earlier.worker == target && (earlier.state != attemptNeverRan || earlier.rejected) {
 			return true
 		}
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -333,11 +333,12 @@
 
 // knownMode returns a mode if it is one of those that have names, and else the first of these.
 func knownMode[M ~uint8](p *settingProblems, name string, mode M, names []string) M {
-	value, unknown := p.malformed[name]
+	value, isUnknown := p.malformed[name]
 	if int(mode) >= len(names) {
-		value, unknown = uint8(mode), true
+		value = uint8(mode)
+		isUnknown = true
 	}
-	if !unknown {
+	if !isUnknown {
 		return mode
 	}
 	described := slices.Clone(names)
--- a/control/worker.go
+++ b/control/worker.go
@@ -81,7 +81,8 @@
 
 // recount counts the workers listed as ready, and those ejected.
 func (s *workerSet) recount() {
-	s.ready, s.ejected = 0, 0
+	s.ready = 0
+	s.ejected = 0
 	for _, w := range s.all {
 		if w.State == Ready {
 			s.ready++
--- a/internal/gateway/http_workers.go
+++ b/internal/gateway/http_workers.go
@@ -264,15 +264,7 @@
 		c.TransportState = state
 	}
 	state.metadata = responseMetadata{}
-	method, target, body := "GET", "/v2/load", ""
-	switch c.Kind {
-	case CallLoadModel:
-		method, target = "POST", "/v2/repository/models/"+c.Model.Name+"/load"
-		body = `{"parameters":{"copies":` + strconv.Itoa(c.Replicas) + `}}`
-	case CallUnloadModel:
-		method, target = "POST", "/v2/repository/models/"+c.Model.Name+"/unload"
-		body = "{}"
-	}
+	method, target, body := encodeControlCall(c)
 	b := httpcodec.AppendRequest(state.head[:0], method, target)
 	b = append(b, "Host: "...)
 	b = c.Worker.Addr.AppendTo(b)
@@ -288,6 +280,19 @@
 	t.Do(&state.call, state.head, state.body)
 }
 
+// encodeControlCall returns the method, target and body of the HTTP request for a control call.
+func encodeControlCall(c *ControlCall) (method, target, body string) {
+	switch c.Kind {
+	case CallLoadModel:
+		body = `{"parameters":{"copies":` + strconv.Itoa(c.Replicas) + `}}`
+		return "POST", "/v2/repository/models/" + c.Model.Name + "/load", body
+	case CallUnloadModel:
+		return "POST", "/v2/repository/models/" + c.Model.Name + "/unload", "{}"
+	default:
+		return "GET", "/v2/load", ""
+	}
+}
+
 // CancelControlCall implements WorkerTransport.
 func (t *httpWorkerTransport) CancelControlCall(c *ControlCall) {
 	state, _ := c.TransportState.(*httpControlCall)
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -102,8 +102,9 @@
 // resolveModel returns a model by its name, from the cache or the catalogue. It returns errUnknownModel if no entry of the
 // catalogue matches the name.
 func (g *Gateway) resolveModel(name []byte) (*Model, error) {
-	if m := g.FindModel(name); m != nil {
-		return m, nil
+	cached := g.FindModel(name)
+	if cached != nil {
+		return cached, nil
 	}
 	for i := range g.cfg.Models {
 		entry := &g.cfg.Models[i]
--- a/internal/gateway/worker_response.go
+++ b/internal/gateway/worker_response.go
@@ -108,7 +108,9 @@
 	if len(text) == 0 || len(text) > maxDecimalLen {
 		return 0
 	}
-	whole, fraction, scale := 0.0, 0.0, 1.0
+	whole := 0.0
+	fraction := 0.0
+	scale := 1.0 // of the latest digit of the fraction
 	inFraction := false
 	for _, c := range text {
 		switch {
