--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -21,6 +21,7 @@
 	"mastchute/internal/cli"
 	"mastchute/internal/emulator"
 	"mastchute/internal/eventloop"
+	"mastchute/internal/eventloop/eventlooptest"
 )
 
 const childVariable = "MASTCHUTE_TEST_CHILD" // set: the test binary runs as mastchute
@@ -188,12 +189,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Stop()
-		<-ended
-	})
+	eventlooptest.Run(t, loop)
 	return workers
 }
 
--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -1,4 +1,4 @@
-// Package eventlooptest gives tests access to state that belongs to an event loop.
+// Package eventlooptest runs event loops for tests and gives tests access to state that belongs to a loop.
 package eventlooptest
 
 import (
@@ -14,6 +14,47 @@
 	maxPolls     = 2500
 )
 
+// Start returns a loop that runs until the test ends.
+func Start(t testing.TB) *eventloop.Loop {
+	t.Helper()
+	l, err := eventloop.New(0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Run(t, l)
+	return l
+}
+
+// Run runs a loop on a goroutine of its own until the test ends, unless it ends earlier. The test fails if the loop ends
+// with an error.
+func Run(t testing.TB, l *eventloop.Loop) *Running {
+	r := &Running{ended: make(chan struct{})}
+	go func() {
+		r.err = l.Run()
+		close(r.ended)
+	}()
+	t.Cleanup(func() {
+		l.Stop()
+		err := r.Wait()
+		if err != nil {
+			t.Error(err)
+		}
+	})
+	return r
+}
+
+// Running is a loop that Run has started.
+type Running struct {
+	ended chan struct{} // closed after err was set
+	err   error
+}
+
+// Wait waits until the loop has ended, and returns its error. It may be called from any goroutine and more than once.
+func (r *Running) Wait() error {
+	<-r.ended
+	return r.err
+}
+
 // On runs f on the loop and returns when it has run. It fails the test if the loop does not run it in time.
 func On(t testing.TB, l *eventloop.Loop, f func()) {
 	t.Helper()
--- a/internal/gateway/allocation_test.go
+++ b/internal/gateway/allocation_test.go
@@ -7,6 +7,7 @@
 
 	"mastchute/control"
 	"mastchute/internal/eventloop"
+	"mastchute/internal/eventloop/eventlooptest"
 	"mastchute/internal/httpcodec"
 	"mastchute/internal/httpconn"
 	"mastchute/internal/membership"
@@ -111,14 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Stop()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-	})
+	eventlooptest.Run(t, loop)
 	return server.Addr()
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -24,7 +24,7 @@
 type harness struct {
 	t       *testing.T
 	gateway *Gateway
-	done    chan error // the end of the loop
+	running *eventlooptest.Running // the gateway's loop
 }
 
 // receivedRequest is a request as a worker's socket carried it.
@@ -212,14 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{t: t, gateway: g, done: make(chan error, 1)}
-	go func() { h.done <- loop.Run() }()
-	t.Cleanup(func() {
-		loop.Stop()
-		if err := <-h.done; err != nil {
-			t.Error(err)
-		}
-	})
+	h := &harness{t: t, gateway: g, running: eventlooptest.Run(t, loop)}
 	h.until("all workers are announced", func() bool { return h.announcedCount() == len(workers) })
 	return h
 }
--- a/internal/gateway/module_test.go
+++ b/internal/gateway/module_test.go
@@ -43,13 +43,12 @@
 	if response := h.post("once-1", "", "in"); response.status != 502 || response.outcome != "failed" {
 		t.Errorf("%+v", response)
 	}
-	if err := <-h.done; err != nil {
+	if err := h.running.Wait(); err != nil {
 		t.Error(err)
 	}
 	if status := h.gateway.ExitStatus(); status.PanicMessage != "odd" {
 		t.Errorf("%+v", status)
 	}
-	h.done <- nil // for the cleanup
 }
 
 func TestGatewayRespondsAtTheDeadlineWithoutTheModule(t *testing.T) {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -23,14 +23,13 @@
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle connection is not closed")
 	}
-	if err := <-h.done; err != nil || h.gateway.ExitStatus() != (ExitStatus{}) {
+	if err := h.running.Wait(); err != nil || h.gateway.ExitStatus() != (ExitStatus{}) {
 		t.Errorf("%v %+v", err, h.gateway.ExitStatus())
 	}
 	if conn, err := net.Dial("tcp", h.gateway.Addr().String()); err == nil {
 		conn.Close()
 		t.Error("it still accepts")
 	}
-	h.done <- nil // for the cleanup
 }
 
 func TestExpiredGracePeriodFailsRequestsInFlight(t *testing.T) {
@@ -43,11 +42,10 @@
 	if response := <-result; response.status != 502 || response.outcome != "failed" {
 		t.Errorf("%+v", response)
 	}
-	<-h.done
+	h.running.Wait()
 	if status := h.gateway.ExitStatus(); status.FailedRequests != 1 {
 		t.Errorf("%+v", status)
 	}
-	h.done <- nil // for the cleanup
 }
 
 // Requests that cross a shutdown get a response: those that the kernel holds unread, and those on connections that have
--- a/internal/httpconn/helpers_test.go
+++ b/internal/httpconn/helpers_test.go
@@ -9,24 +9,6 @@
 	"mastchute/internal/httpcodec"
 )
 
-// startLoop runs an event loop until the test ends.
-func startLoop(t *testing.T) *eventloop.Loop {
-	t.Helper()
-	l, err := eventloop.New(0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ended := make(chan error, 1)
-	go func() { ended <- l.Run() }()
-	t.Cleanup(func() {
-		l.Stop()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
-	return l
-}
-
 // recordingService responds to each request with its target and body, except that requests for /later wait in held. Its
 // fields belong to the loop.
 type recordingService struct {
--- a/internal/httpconn/pool_test.go
+++ b/internal/httpconn/pool_test.go
@@ -44,7 +44,7 @@
 
 // Calls beyond MaxConnections are queued, and served in order on the connections there are.
 func TestPoolQueuesCalls(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	server, _ := startServer(t, l, ServerOptions{})
 	p := startPool(t, l, server.Addr(), PoolOptions{MaxConnections: 2})
 	calls := make([]recordedCall, 20)
@@ -87,7 +87,7 @@
 
 // FailUnsent ends the calls that wait for a connection, and no others.
 func TestFailUnsent(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	server, service := startServer(t, l, ServerOptions{})
 	p := startPool(t, l, server.Addr(), PoolOptions{MaxConnections: 1})
 	var sent, queued recordedCall
@@ -117,7 +117,7 @@
 
 // Each way in which a response can fail ends the call with the error that says so.
 func TestFailedResponses(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	for _, c := range []struct {
 		name, response string
 		want           error
--- a/internal/httpconn/server_test.go
+++ b/internal/httpconn/server_test.go
@@ -40,7 +40,7 @@
 
 // Pipelined requests are answered in order, also when the first is answered late.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	server, service := startServer(t, l, ServerOptions{})
 	conn, r := dial(t, server)
 	io.WriteString(conn, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n"+
@@ -64,7 +64,7 @@
 
 // What the server rejects by itself is answered, counted, and ends the connection.
 func TestServerRejections(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	budget := &MemoryBudget{Limit: 10}
 	server, service := startServer(t, l, ServerOptions{
 		Limits:      httpcodec.Limits{Line: 100, Head: 500, Headers: 10, Body: 50},
@@ -106,7 +106,7 @@
 
 // Draining closes idle connections, and others after the response in flight.
 func TestDrainFinishesRequestsInFlight(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	server, service := startServer(t, l, ServerOptions{})
 	_, idle := dial(t, server)
 	conn, busy := dial(t, server)
@@ -132,7 +132,7 @@
 }
 
 func TestClientGoneIsReportedOnce(t *testing.T) {
-	l := startLoop(t)
+	l := eventlooptest.Start(t)
 	server, service := startServer(t, l, ServerOptions{})
 	conn, _ := dial(t, server)
 	io.WriteString(conn, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n")
--- a/internal/lab/faulty_host_test.go
+++ b/internal/lab/faulty_host_test.go
@@ -17,6 +17,7 @@
 
 	"mastchute/internal/emulator"
 	"mastchute/internal/eventloop"
+	"mastchute/internal/eventloop/eventlooptest"
 )
 
 const faultyHostScenario = `name: wrong
@@ -164,8 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loopEnded := make(chan error, 1)
-	go func() { loopEnded <- loop.Run() }()
+	running := eventlooptest.Run(t, loop)
 	host := &faultyHost{fault: fault}
 	for i := range 3 {
 		host.workers = append(host.workers, workers.Addr(i).String())
@@ -188,7 +188,7 @@
 	generator.run(context.Background(), time.Now())
 	time.Sleep(300 * time.Millisecond) // for what is sent after the last answer
 	loop.Stop()
-	if err := <-loopEnded; err != nil {
+	if err := running.Wait(); err != nil {
 		t.Fatal(err)
 	}
 	e.Tries = generator.clientAttempts()
