--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -34,7 +34,7 @@
 		close(r.ended)
 	}()
 	t.Cleanup(func() {
-		l.Stop()
+		r.stop(l)
 		err := r.Wait()
 		if err != nil {
 			t.Error(err)
@@ -55,6 +55,16 @@
 	return r.err
 }
 
+// stop stops the loop unless it has ended. Stopping it then would write to its wake-up descriptor, which is closed and
+// whose number may stand for a connection of another test by now.
+func (r *Running) stop(l *eventloop.Loop) {
+	select {
+	case <-r.ended:
+	default:
+		l.Stop()
+	}
+}
+
 // On runs f on the loop and returns when it has run. It fails the test if the loop does not run it in time.
 func On(t testing.TB, l *eventloop.Loop, f func()) {
 	t.Helper()
