--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"mastchute/internal/app"
+	"mastchute/internal/cli/clitest"
 )
 
 // An entry that is added to the worker file, taken out of it or malformed has its effect without a restart; the admin
@@ -216,7 +217,7 @@
 	workers := startWorkers(t, 1)
 	file := filepath.Join(t.TempDir(), "d.yaml")
 	writeFile(t, file, settings+"workers:\n"+workerEntry("w1", workers, 0))
-	p := &program{t: t, cmd: programCommand("serve", file)}
+	p := &program{t: t, cmd: clitest.Command("serve", file)}
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -18,20 +18,13 @@
 	"time"
 
 	"mastchute/internal/app"
-	"mastchute/internal/cli"
+	"mastchute/internal/cli/clitest"
 	"mastchute/internal/emulator"
 	"mastchute/internal/eventloop"
 	"mastchute/internal/eventloop/eventlooptest"
 )
 
-const childVariable = "MASTCHUTE_TEST_CHILD" // set: the test binary runs as mastchute
-
-func TestMain(m *testing.M) {
-	if os.Getenv(childVariable) == "1" {
-		os.Exit(cli.Main(os.Args[1:]))
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { clitest.Main(m) }
 
 // program is mastchute in a process of its own.
 type program struct {
@@ -45,17 +38,10 @@
 	lines []string // of standard error, not yet removed by a test
 }
 
-// programCommand returns the command that runs mastchute with the arguments.
-func programCommand(args ...string) *exec.Cmd {
-	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), childVariable+"=1")
-	return cmd
-}
-
 // startProgram starts mastchute and collects its log. The process is killed at the end of the test.
 func startProgram(t *testing.T, args ...string) *program {
 	t.Helper()
-	p := &program{t: t, cmd: programCommand(args...), newLine: make(chan struct{}, 1)}
+	p := &program{t: t, cmd: clitest.Command(args...), newLine: make(chan struct{}, 1)}
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -8,17 +8,11 @@
 	"strings"
 	"testing"
 
-	"mastchute/internal/cli"
+	"mastchute/internal/cli/clitest"
 	"mastchute/internal/lab"
 )
 
-// The processes of a run are this test's own program, told by the environment to be mastchute.
-func TestMain(m *testing.M) {
-	if os.Getenv("MASTCHUTE_TEST_CHILD") == "1" {
-		os.Exit(cli.Main(os.Args[1:]))
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { clitest.Main(m) }
 
 const shortScenario = `name: short
 seed: 3
@@ -54,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, report, err := lab.Play(context.Background(), scenario, lab.Options{Self: []string{self}, Env: []string{"MASTCHUTE_TEST_CHILD=1"}, Dir: t.TempDir()})
+	_, report, err := lab.Play(context.Background(), scenario, lab.Options{Self: []string{self}, Env: []string{clitest.Env}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
