--- a/internal/gateway/worker_response.go
+++ b/internal/gateway/worker_response.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// parseDecimal returns the value of a decimal number without sign or exponent, and 0 for anything else.
+// parseDecimal returns the value of a decimal number without sign or exponent, and 0 for anything else. It is not
+// thrift.ParseDecimal, which accepts exponents and longer texts, and whose values differ in the last bits.
 func parseDecimal(text []byte) float64 {
 	if len(text) == 0 || len(text) > maxDecimalLen {
 		return 0
@@ -127,7 +128,8 @@
 }
 
 // parseLoadReport reads a load report in ORCA's text form, TEXT name=value, named_metrics.name=value, ..., into values in
-// the order of fields. It returns the number of fields, and 0 unless every one is reported.
+// the order of fields. It returns the number of fields, and 0 unless every one is reported. Of a field that is reported
+// twice the first value counts, and a value that is not a number is 0; workerproto.ReadLoadReport drops such reports.
 func parseLoadReport(report []byte, fields []string, values []float64) int {
 	const format = "TEXT "
 	if len(report) < len(format) || string(report[:len(format)]) != format || len(fields) > len(values) {
