--- a/internal/soak/configuration.go
+++ b/internal/soak/configuration.go
@@ -29,7 +29,7 @@
 		"seed":      fmt.Sprintf("%016x", plan.Seed*seedsOfOneRun+uint64(d.index)),
 		"limits":    map[string]any{"cores": 1, "memory_mb": memoryLimitMB, "sockets": plan.Site.Sockets},
 		"changelog": d.run.changeLog.addrs[d.changeLogAt],
-		"known":     json.RawMessage(d.run.changeLog.eventsAfter(0)),
+		"known":     json.RawMessage(d.run.changeLog.EventsAfter(0)),
 		"settings":  plan.Site.settings(),
 	})
 	if err != nil {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -11,6 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"mastchute/internal/soak/changelog"
 	"mastchute/internal/syscalls/faults"
 )
 
@@ -99,9 +100,9 @@
 			return err
 		}
 		r.workers = append(r.workers, w)
-		members = append(members, w.member(phaseActive))
+		members = append(members, w.member(changelog.PhaseActive))
 	}
-	r.changeLog.add(true, members...)
+	r.changeLog.Append(true, members...)
 	for i := range r.plan.Site.Dispatchers {
 		d, err := newDispatcher(r, i)
 		if err != nil {
@@ -255,11 +256,11 @@
 		return
 	}
 	r.history.update(func() { r.history.DrainedAt[id] = r.history.now() })
-	r.changeLog.add(false, w.member(phaseLeaving))
+	r.changeLog.Append(false, w.member(changelog.PhaseLeaving))
 	time.Sleep(seconds(r.plan.Site.Grace + drainMargin))
 	oldID, newID := w.replace()
 	r.history.update(func() { r.history.StartedAt[newID] = r.history.now() })
-	r.changeLog.add(false, memberEntry(oldID, w.address, phaseLeft, 0), w.member(phaseActive))
+	r.changeLog.Append(false, changelog.Member(oldID, w.address, changelog.PhaseLeft, 0), w.member(changelog.PhaseActive))
 }
 
 // activeFault returns the fault of a kind that is active now at a target, nil for none.
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -6,6 +6,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"mastchute/internal/soak/changelog"
 )
 
 // worker emulates a worker process and those that follow it at the same address. What arrives is recorded before any
@@ -144,20 +146,9 @@
 	return wasLoaded, w.draining
 }
 
-// Phases of a member in the change log.
-const (
-	phaseActive  = "active"
-	phaseLeaving = "leaving"
-	phaseLeft    = "left"
-)
-
 // member returns the worker's entry in the change log.
 func (w *worker) member(phase string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return memberEntry(w.id, w.address, phase, w.upSince)
-}
-
-func memberEntry(id, address, phase string, upSince int64) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"std","cell":1,"phase":%q,"size":4,"up_since_ms":%d}`, id, address, phase, upSince)
+	return changelog.Member(w.id, w.address, phase, w.upSince)
 }
