--- a/internal/app/demo.go
+++ b/internal/app/demo.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"maps"
-	"net/netip"
 	"slices"
 	"strings"
 	"time"
@@ -67,9 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	freePort := netip.MustParseAddrPort("127.0.0.1:0")
-	addresses := slices.Repeat([]netip.AddrPort{freePort}, demoWorkers)
-	workers, err := emulator.NewServer(loop, DemoSpec(demoWorkers, DemoModels), addresses, freePort, nil, false)
+	workers, err := emulator.NewLoopbackServer(loop, DemoSpec(demoWorkers, DemoModels), nil, false)
 	if err != nil {
 		loop.Close()
 		return nil, err
--- a/internal/app/harness_test.go
+++ b/internal/app/harness_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -169,9 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	freePort := netip.MustParseAddrPort("127.0.0.1:0")
-	addresses := slices.Repeat([]netip.AddrPort{freePort}, n)
-	workers, err := emulator.NewServer(loop, app.DemoSpec(n, app.DemoModels), addresses, freePort, nil, false)
+	workers, err := emulator.NewLoopbackServer(loop, app.DemoSpec(n, app.DemoModels), nil, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -5,6 +5,7 @@
 	"io"
 	"math"
 	"net/netip"
+	"slices"
 
 	"mastchute/internal/eventloop"
 	"mastchute/internal/httpconn"
@@ -58,6 +59,12 @@
 	return s, nil
 }
 
+// NewLoopbackServer is NewServer with free ports on loopback for all workers and for faults.
+func NewLoopbackServer(l *eventloop.Loop, spec Spec, records io.Writer, cold bool) (*Server, error) {
+	freePort := netip.MustParseAddrPort("127.0.0.1:0")
+	return NewServer(l, spec, slices.Repeat([]netip.AddrPort{freePort}, len(spec.Workers)), freePort, records, cold)
+}
+
 // Addr returns the address of a worker.
 func (s *Server) Addr(worker int) netip.AddrPort { return s.listeners[worker].addr }
 
--- a/internal/lab/faulty_host_test.go
+++ b/internal/lab/faulty_host_test.go
@@ -9,7 +9,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/netip"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -160,8 +159,7 @@
 		t.Fatal(err)
 	}
 	var records bytes.Buffer
-	free := netip.MustParseAddrPort("127.0.0.1:0")
-	workers, err := emulator.NewServer(loop, scenario.Spec(), []netip.AddrPort{free, free, free}, free, &records, fault == faultOverloadsWorker)
+	workers, err := emulator.NewLoopbackServer(loop, scenario.Spec(), &records, fault == faultOverloadsWorker)
 	if err != nil {
 		t.Fatal(err)
 	}
