--- /dev/null
+++ b/internal/platform/harness_test.go
@@ -0,0 +1,190 @@
+package platform
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"mastchute/control"
+	"mastchute/internal/eventloop/eventlooptest"
+	"mastchute/internal/membership"
+)
+
+// requestTimeoutMS is the time in ms that clients in these tests give a request.
+const requestTimeoutMS = 2000
+
+// harness is a dispatcher on loopback with fake workers, clients and a fake change log.
+type harness struct {
+	t          *testing.T
+	dispatcher *Dispatcher
+	changeLog  *fakeChangeLog
+	config     *ConfigFile
+}
+
+// testGroups are model groups of each effect: read may be retried, write is deduplicated, once may not be retried.
+const testGroups = `[{"name":"read","effect":"pure","aim_us":500000,"deadline_us":2000000,"group":"all","window_us":2000000},
+ {"name":"write","effect":"token","aim_us":500000,"deadline_us":2000000,"group":"all","window_us":1000000},
+ {"name":"once","effect":"side_effect","aim_us":500000,"deadline_us":2000000,"group":"all","window_us":2000000}]`
+
+// testSettings returns the settings with a mode for requests whose model is not loaded.
+func testSettings(onMiss string) string {
+	return `{"request_classes":` + testGroups + `,"discovery":"automatic","peers_total":1,"resolution_us":2000,"family_info":{"when_absent":"` + onMiss + `","may_order":true,
+	"stays_loaded_us":8000000,"order_limit_us":2000000,"marks_cold":true},"load_report":{"fields":["inflight","queue"],"via":"answers"},
+	"limits":{"cancel":true,"parallel_tries":true,"probing":true,"retry_after":true,"max_retry_after_us":500000,"max_attempts":6,"streams_per_conn":32,"conn_idle_us":15000000,"connect_timeout_us":250000,"open_cap":20000},
+	"rules":{"drain_grace_us":1000000,"cold_share":0.2,"warm_after_us":1000000,"overload_factor":2,"fall_us":1000000}}`
+}
+
+// testConfig returns a configuration that has the events of a change log.
+func testConfig(t *testing.T, log *fakeChangeLog, onMiss string) *ConfigFile {
+	t.Helper()
+	log.mu.Lock()
+	known := log.eventsSince(0)
+	log.mu.Unlock()
+	file, err := parseConfig([]byte(fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
+	"changelog":%q,"known":%s,"settings":%s}`, log.server.Listener.Addr(), known, testSettings(onMiss))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// configJSON returns a configuration file as the platform writes it.
+func configJSON(t *testing.T) string {
+	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":64,"sockets":256},
+	"changelog":%q,"known":{"seq":0,"results":[]},"settings":%s}`, newFakeChangeLog(t).server.Listener.Addr(), testSettings("load"))
+}
+
+// newHarness starts a dispatcher whose configuration has the workers, and waits until it is ready.
+func newHarness(t *testing.T, onMiss string, workers ...*fakeWorker) *harness {
+	t.Helper()
+	h := &harness{t: t, changeLog: newFakeChangeLog(t)}
+	var list []string
+	for _, worker := range workers {
+		list = append(list, worker.memberJSON("active", 0))
+	}
+	h.changeLog.publish(true, list...)
+	h.config = testConfig(t, h.changeLog, onMiss)
+	h.start()
+	h.waitFor("it can serve", func() bool { return h.dispatcher.Gateway.Ready() || len(workers) == 0 })
+	return h
+}
+
+// start starts a dispatcher by h.config.
+func (h *harness) start() {
+	t := h.t
+	t.Helper()
+	logger := zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel)
+	var err error
+	h.dispatcher, err = New(h.config, logger)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() { h.dispatcher.loopDone <- h.dispatcher.Loop.Run() }()
+	t.Cleanup(func() {
+		h.dispatcher.Loop.Stop()
+		if err := <-h.dispatcher.loopDone; err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// onLoop runs f on the loop and waits for it.
+func (h *harness) onLoop(f func()) {
+	h.t.Helper()
+	eventlooptest.On(h.t, h.dispatcher.Loop, f)
+}
+
+// waitFor waits until a condition, which is evaluated on the loop, is true. It fails the test after a while.
+func (h *harness) waitFor(what string, condition func() bool) {
+	h.t.Helper()
+	eventlooptest.Until(h.t, h.dispatcher.Loop, what, condition)
+}
+
+// listEntry returns the entry of the worker list for a worker in a state.
+func (h *harness) listEntry(worker *fakeWorker, state control.WorkerState) membership.Entry {
+	member := &Member{ID: worker.id, HostPort: worker.listener.Addr().String(), Locality: "z", Cell: 1, Phase: "active", Size: 4}
+	entry, err := member.entry(membership.WallClock{}, 0, 0)
+	if err != nil {
+		h.t.Error(err)
+	}
+	entry.State = state
+	return entry
+}
+
+// dropCount returns how many drops were counted for a reason.
+func (h *harness) dropCount(reason string) (count int) {
+	h.onLoop(func() { count = h.dispatcher.clients.dropCounts[reason] })
+	return count
+}
+
+// respondToPoll handles a text as the change log's response to the poll in flight. It is to be called on the loop.
+func (h *harness) respondToPoll(text string) {
+	watch := h.dispatcher.watch
+	watch.body = append(watch.body[:0], text...)
+	watch.unusable = false
+	watch.call.Cancel()
+	watch.ResponseDone(nil)
+}
+
+// listedWorkers returns the names on the worker list. It is to be called on the loop.
+func (h *harness) listedWorkers() (names []string) {
+	for _, worker := range h.dispatcher.Gateway.Members.All() {
+		if worker.Listed {
+			names = append(names, worker.Name)
+		}
+	}
+	return names
+}
+
+// allEstablished reports whether no connection to a worker is still being established. It is to be called on the loop.
+func (h *harness) allEstablished() bool {
+	for conn := range h.dispatcher.clients.workers.conns {
+		if !conn.established {
+			return false
+		}
+	}
+	return true
+}
+
+// clientConns returns the clients' connections, the one whose last message is oldest first. It is to be called on the loop.
+func (h *harness) clientConns() (conns []*clientConn) {
+	clients := h.dispatcher.clients
+	for conn := clients.connRing.next; conn != &clients.connRing; conn = conn.next {
+		conns = append(conns, conn)
+	}
+	return conns
+}
+
+// waitIdle waits until nothing is in flight or buffered.
+func (h *harness) waitIdle() {
+	h.t.Helper()
+	h.waitFor("nothing is in flight", func() bool {
+		clients := h.dispatcher.clients
+		return h.dispatcher.Gateway.InFlight() == 0 && clients.bodyBytes == 0 && len(clients.inFlight) == 0
+	})
+}
+
+// waitEnd waits until the dispatcher has ended without an error.
+func (h *harness) waitEnd() {
+	h.t.Helper()
+	select {
+	case err := <-h.dispatcher.loopDone:
+		if err != nil {
+			h.t.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		h.t.Fatal("the dispatcher does not end")
+	}
+	h.dispatcher.loopDone <- nil
+}
+
+// answerInFlight passes the response to the attempt in flight to its connection, as if the worker had sent it.
+func (h *harness) answerInFlight() {
+	for _, request := range h.dispatcher.clients.inFlight {
+		for conn := range h.dispatcher.clients.workers.conns {
+			conn.Received(conn.conn, []byte(string(request.id[:])+" served detail=resident 4\r\nwell\r\n"))
+		}
+	}
+}
