--- a/internal/httpcodec/headers.go
+++ b/internal/httpcodec/headers.go
@@ -1,6 +1,10 @@
 package httpcodec
 
-import "bytes"
+import (
+	"bytes"
+
+	"mastchute/internal/decimal"
+)
 
 // headerSummary is what the headers of one head add up to, beside the fields of Head.
 type headerSummary struct {
@@ -90,14 +94,18 @@
 	return nil
 }
 
+// maxLengthDigits is the most digits of a Content-Length.
+const maxLengthDigits = 18
+
 func (h *Head) interpretContentLength(value []byte) error {
 	if h.Length >= 0 {
 		return ErrInvalidContentLength
 	}
-	h.Length = parseDecimal(value)
-	if h.Length < 0 {
+	length, ok := decimal.ParseDigits(value, maxLengthDigits)
+	if !ok {
 		return ErrInvalidContentLength
 	}
+	h.Length = length
 	return nil
 }
 
--- a/internal/httpcodec/syntax.go
+++ b/internal/httpcodec/syntax.go
@@ -55,24 +55,6 @@
 
 func isHex(c byte) bool { return isDigit(c) || 'a' <= c|0x20 && c|0x20 <= 'f' }
 
-// maxDecimalDigits is the number of digits that cannot overflow an int64.
-const maxDecimalDigits = 18
-
-// parseDecimal returns the value of a number of digits only, or -1 if b is not one, or has more than maxDecimalDigits.
-func parseDecimal(b []byte) int64 {
-	if len(b) == 0 || len(b) > maxDecimalDigits {
-		return -1
-	}
-	n := int64(0)
-	for _, c := range b {
-		if !isDigit(c) {
-			return -1
-		}
-		n = 10*n + int64(c-'0')
-	}
-	return n
-}
-
 // EqualsLower reports whether a name equals one that is in lower case, ignoring the ASCII case of the first.
 func EqualsLower(name []byte, lower string) bool {
 	if len(name) != len(lower) {
--- a/internal/workerproto/response.go
+++ b/internal/workerproto/response.go
@@ -7,6 +7,7 @@
 	"errors"
 
 	"mastchute/control"
+	"mastchute/internal/decimal"
 )
 
 // The bounds of a response.
@@ -90,11 +91,11 @@
 		return Response{}, 0, errMalformedLine
 	}
 	response.Result = result
-	bodyLen, ok := parseDecimal(length)
-	if !ok || bodyLen > MaxBodyBytes {
+	size, ok := decimal.ParseDigits(length, maxDecimalDigits)
+	if !ok || size > MaxBodyBytes {
 		return Response{}, 0, errInvalidLength
 	}
-	return response, bodyLen, nil
+	return response, int(size), nil
 }
 
 // checkBodyEnd reports whether a body is complete, that is, followed by CR LF in data.
@@ -123,20 +124,6 @@
 	return nil, nil, false
 }
 
-// parseDecimal parses one to nine digits.
-func parseDecimal(text []byte) (value int, ok bool) {
-	if len(text) == 0 || len(text) > maxDecimalDigits {
-		return 0, false
-	}
-	for _, char := range text {
-		if char < '0' || char > '9' {
-			return 0, false
-		}
-		value = value*10 + int(char-'0')
-	}
-	return value, true
-}
-
 // parseResult maps the result of a response. Those of a health check map to success and to an error.
 func parseResult(word []byte) (result control.Result, ok bool) {
 	switch string(word) {
@@ -171,10 +158,11 @@
 		case "detail":
 			r.ModelState = parseModelState(value, r.ModelState)
 		case "replicas":
-			r.Replicas, ok = parseDecimal(value)
+			replicas, ok := decimal.ParseDigits(value, maxDecimalDigits)
 			if !ok {
 				return false
 			}
+			r.Replicas = int(replicas)
 		case "use":
 			r.LoadReport = value
 		}
