--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -18,6 +18,7 @@
 	"mastchute/internal/config"
 	"mastchute/internal/eventloop"
 	"mastchute/internal/eventloop/eventlooptest"
+	"mastchute/internal/nettest"
 )
 
 // harness is a gateway on loopback with scripted workers.
@@ -39,13 +40,12 @@
 
 // scriptedWorker is a worker that follows a script; its last action repeats.
 type scriptedWorker struct {
-	name     string
-	listener net.Listener
+	name   string
+	server *nettest.Server
 
 	mu                sync.Mutex
 	actions           []workerAction
 	requests          []receivedRequest
-	connections       []net.Conn
 	closedConnections int
 	probeAction       workerAction // for probes; nil responds with the default start
 }
@@ -83,32 +83,11 @@
 }
 
 func newWorker(t *testing.T, name string, actions ...workerAction) *scriptedWorker {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	w := &scriptedWorker{name: name, listener: listener, actions: actions}
-	t.Cleanup(func() {
-		listener.Close()
-		w.closeConnections()
-	})
-	go w.accept()
+	w := &scriptedWorker{name: name, actions: actions}
+	w.server = nettest.Serve(t, w.serve)
 	return w
 }
 
-func (w *scriptedWorker) accept() {
-	for {
-		conn, err := w.listener.Accept()
-		if err != nil {
-			return
-		}
-		w.mu.Lock()
-		w.connections = append(w.connections, conn)
-		w.mu.Unlock()
-		go w.serve(conn)
-	}
-}
-
 func (w *scriptedWorker) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -143,14 +122,6 @@
 	return action
 }
 
-func (w *scriptedWorker) closeConnections() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, conn := range w.connections {
-		conn.Close()
-	}
-}
-
 func (w *scriptedWorker) setProbeAction(action workerAction) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,9 +142,7 @@
 	return w.closedConnections
 }
 
-func (w *scriptedWorker) addr() netip.AddrPort {
-	return netip.MustParseAddrPort(w.listener.Addr().String())
-}
+func (w *scriptedWorker) addr() netip.AddrPort { return w.server.AddrPort() }
 
 const harnessSettings = `listen: 127.0.0.1:0
 admin: "off"
@@ -192,7 +161,7 @@
 	t.Helper()
 	text := harnessSettings + settings + "workers:\n"
 	for i, w := range workers {
-		text += fmt.Sprintf("  - {name: %s, address: %q, zone: z%d}\n", w.name, w.listener.Addr(), i/2)
+		text += fmt.Sprintf("  - {name: %s, address: %q, zone: z%d}\n", w.name, w.addr(), i/2)
 	}
 	cfg, err := config.Parse("harness", []byte(text))
 	if err != nil {
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"mastchute/internal/httpconn"
+	"mastchute/internal/nettest"
 )
 
 func TestResponseIsPassedOn(t *testing.T) {
@@ -223,8 +224,8 @@
 func TestLongBodiesAreBufferedOnce(t *testing.T) {
 	readBody := make(chan struct{})
 	bodyLen := make(chan int, 1)
-	listener := serveSlowReader(t, readBody, bodyLen)
-	h := newHarness(t, "", nil, &scriptedWorker{name: "w1", listener: listener})
+	server := serveSlowReader(t, readBody, bodyLen)
+	h := newHarness(t, "", nil, &scriptedWorker{name: "w1", server: server})
 	result := make(chan clientResponse, 1)
 	body := strings.Repeat("x", 8<<20)
 	go func() { result <- h.post("read-1", "", body) }()
@@ -245,13 +246,8 @@
 }
 
 // serveSlowReader serves a worker that reads the bodies of requests once readBody is closed, and reports their length.
-func serveSlowReader(t *testing.T, readBody chan struct{}, bodyLen chan<- int) net.Listener {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	serve := func(conn net.Conn) {
+func serveSlowReader(t *testing.T, readBody chan struct{}, bodyLen chan<- int) *nettest.Server {
+	return nettest.Serve(t, func(conn net.Conn) {
 		reader := bufio.NewReader(conn)
 		for {
 			request, err := http.ReadRequest(reader)
@@ -265,17 +261,7 @@
 			}
 			respond(200, "", "")(conn, request)
 		}
-	}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go serve(conn)
-		}
-	}()
-	return listener
+	})
 }
 
 // sentAttempt returns the state of a request's first attempt once it is being sent, nil before. On the loop.
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -61,7 +61,7 @@
 func TestNoConnectionProvesThatNothingRan(t *testing.T) {
 	dead, w2 := newWorker(t, "w1", succeed), newWorker(t, "w2", succeed)
 	h := newHarness(t, "", nil, dead, w2)
-	dead.listener.Close()
+	dead.server.Close()
 	h.on(func() { h.worker("w1").transport.CloseIdle() })
 	for i := range 8 {
 		h.expect(fmt.Sprintf("once-%d", i), 200, "returned")
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -56,7 +56,7 @@
 		h.setAdminState(membership.Entry{Name: "w1", State: control.Draining})
 		h.setAdminState(membership.Entry{Name: "w1", State: control.Ready})
 	}
-	loseConnections := func(_ *harness, w *scriptedWorker) { w.closeConnections() }
+	loseConnections := func(_ *harness, w *scriptedWorker) { w.server.CloseConns() }
 	for _, c := range []struct {
 		name     string
 		act      func(h *harness, w *scriptedWorker)
--- a/internal/lab/faulty_host_test.go
+++ b/internal/lab/faulty_host_test.go
@@ -17,6 +17,7 @@
 	"mastchute/internal/emulator"
 	"mastchute/internal/eventloop"
 	"mastchute/internal/eventloop/eventlooptest"
+	"mastchute/internal/nettest"
 )
 
 const faultyHostScenario = `name: wrong
@@ -59,16 +60,6 @@
 	requests atomic.Int64
 }
 
-func (h *faultyHost) serve(listener net.Listener) {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		go h.serveConn(conn)
-	}
-}
-
 func (h *faultyHost) serveConn(conn net.Conn) {
 	defer conn.Close()
 	for reader := bufio.NewReader(conn); ; {
@@ -168,12 +159,7 @@
 	for i := range 3 {
 		host.workers = append(host.workers, workers.Addr(i).String())
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	go host.serve(listener)
+	server := nettest.Serve(t, host.serveConn)
 	e := &Evidence{Settings: &scenario.Settings, Zones: map[string]string{}, Cells: map[string]string{}}
 	if fault == faultIgnoresDrain {
 		time.AfterFunc(500*time.Millisecond, func() { // notified, and ignored
@@ -182,7 +168,7 @@
 			})
 		})
 	}
-	generator := &loadGenerator{scenario: scenario, dispatchers: []*dispatcherClient{{name: "d0", address: listener.Addr().String()}}}
+	generator := &loadGenerator{scenario: scenario, dispatchers: []*dispatcherClient{{name: "d0", address: server.Addr().String()}}}
 	generator.run(context.Background(), time.Now())
 	time.Sleep(300 * time.Millisecond) // for what is sent after the last answer
 	loop.Stop()
--- /dev/null
+++ b/internal/nettest/nettest_test.go
@@ -0,0 +1,57 @@
+package nettest
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// dialEcho returns a connection to an echo server after one byte has come back on it.
+func dialEcho(t *testing.T, server *Server) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", server.AddrPort().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	io.WriteString(conn, "x")
+	_, err = conn.Read(make([]byte, 1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// isClosedByPeer waits for a byte or the end of a connection.
+func isClosedByPeer(conn net.Conn) bool {
+	_, err := conn.Read(make([]byte, 1))
+	return err == io.EOF
+}
+
+func TestServe(t *testing.T) {
+	var server *Server
+	var last net.Conn
+	t.Run("serving", func(t *testing.T) {
+		server = Serve(t, func(conn net.Conn) { io.Copy(conn, conn) })
+		first := dialEcho(t, server)
+		defer first.Close()
+		server.CloseConns()
+		if !isClosedByPeer(first) {
+			t.Error("CloseConns leaves a connection open")
+		}
+		last = dialEcho(t, server)
+		if n := server.AcceptedCount(); n != 2 {
+			t.Errorf("%d connections were accepted, want 2", n)
+		}
+	})
+	defer last.Close()
+	if !isClosedByPeer(last) {
+		t.Error("a connection is open after the test")
+	}
+	conn, err := net.Dial("tcp", server.AddrPort().String())
+	if err == nil {
+		conn.Close()
+		t.Error("the listener is open after the test")
+	}
+}
