--- a/control/outbox.go
+++ b/control/outbox.go
@@ -1,14 +1,14 @@
 package control
 
-// outbox lists what the events of the present moment have changed, for Reconcile to emit.
+// outbox collects what the events since the last Reconcile have changed, for the next one to emit.
 type outbox struct {
-	requests   []*request // whose desired state may differ from the actual one
-	loadOrders []*replica
-	probes     []*worker
-	timerSet   bool // the sweep timer is running
+	requests       []*request // those whose desired state may differ from the actual one
+	loadRequests   []*replica
+	probes         []*worker
+	sweepScheduled bool // the sweep timer is running
 }
 
-// addRequest lists a request, once.
+// addRequest adds a request, unless it is listed already.
 func (o *outbox) addRequest(req *request) {
 	if !req.changed {
 		req.changed = true
@@ -19,6 +19,6 @@
 // clear empties the lists, keeping their memory.
 func (o *outbox) clear() {
 	o.requests = o.requests[:0]
-	o.loadOrders = o.loadOrders[:0]
+	o.loadRequests = o.loadRequests[:0]
 	o.probes = o.probes[:0]
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -77,13 +77,13 @@
 	if len(problems.unusable) > 0 {
 		t.Errorf("a zero is unusable: %v", problems.unusable)
 	}
-	if absent.tick != tickDefault || absent.slowStartCapacity != slowStartCapacityDefault || absent.modelKeepAlive != never || absent.quotas[0] != never {
+	if absent.tick != defaultTick || absent.slowStartCapacity != defaultSlowStartCapacity || absent.modelKeepAlive != never || absent.quotas[0] != never {
 		t.Errorf("absent: %+v", absent)
 	}
-	if zero.tick != 0 || zero.slowStartCapacity != ratioMin || zero.modelKeepAlive != 0 || zero.quotas[0] != 0 {
+	if zero.tick != 0 || zero.slowStartCapacity != minRatio || zero.modelKeepAlive != 0 || zero.quotas[0] != 0 {
 		t.Errorf("zero: %+v", zero)
 	}
-	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].objective != objectiveDefault || zero.groups[0].timeout != timeoutDefault {
+	if *zero.groups[0] != *absent.groups[0] || zero.groups[0].objective != defaultObjective || zero.groups[0].timeout != defaultTimeout {
 		t.Errorf("groups: zero %+v, absent %+v", zero.groups[0], absent.groups[0])
 	}
 }
@@ -94,9 +94,9 @@
 		Tick:             Some(math.NaN()),
 		Discovery:        DiscoverySettings{Mode: 7},
 		Attempts:         AttemptSettings{Max: 0.5},
-		LoadReportFields: make([]string, listMax+1),
+		LoadReportFields: make([]string, maxListLength+1),
 		Groups:           []GroupSettings{{Effect: 3, Scope: 9, SLO: Some(-1.0)}},
-		Tenants:          make([]TenantSettings, listMax+1),
+		Tenants:          make([]TenantSettings, maxListLength+1),
 	})
 	names := func(errs []error) (list []string) {
 		for _, err := range errs {
@@ -111,13 +111,13 @@
 	if want := []string{"tick", "limits.max_attempts", "load_report.fields", "groups.0.slo", "tenants"}; !slices.Equal(unusable, want) {
 		t.Errorf("unusable %q, want %q", unusable, want)
 	}
-	unknown := names(problems.unknownWords)
+	unknown := names(problems.unknownModes)
 	if want := []string{"discovery", "groups.0.effect", "groups.0.scope"}; !slices.Equal(unknown, want) {
 		t.Errorf("unknown %q, want %q", unknown, want)
 	}
 }
 
-// TestUnknownWords: an unknown word has the strictest default and is logged once.
+// TestUnknownWords checks that an unknown name of a mode has the strictest default and is logged once.
 func TestUnknownWords(t *testing.T) {
 	for name, value := range map[string]any{"discovery": "guess", "groups.0.effect": "purest", "groups.0.scope": 4.0, "models.on_miss": "ask"} {
 		s := ParseSettings(SettingValues{"groups": 1.0, "models.orders": true, name: value})
@@ -151,12 +151,12 @@
 		p.play("arrive 1-40 model=1 deadline=50")
 		p.play("wait 0.05")
 		if n := p.attempts(); n > 2 {
-			t.Errorf("%s: %d attempts at a cold worker at once", name, n)
+			t.Errorf("%s: %d attempts at a worker in slow start at once", name, n)
 		}
 	}
 }
 
-// TestValuesThatAreNoNumbers gives infinite values and values that are no numbers: the request is answered all the same,
+// TestValuesThatAreNoNumbers gives infinite values and NaN: the request has its final response all the same,
 // and a load report with one of them changes nothing.
 func TestValuesThatAreNoNumbers(t *testing.T) {
 	for _, q := range []Request{{Deadline: math.NaN()}, {Deadline: math.Inf(1)}, {Deadline: 3, LoadTimeHint: math.Inf(1)},
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestManyTenants: where model groups times tenants would fill the memory of each worker, tenants share one record.
+// TestManyTenants checks that tenants share one traffic class where model groups times tenants are too many.
 func TestManyTenants(t *testing.T) {
 	p := usualPlayer(t, func(s SettingValues) { s["tenants"] = 4000.0 })
 	p.play("workers A B")
--- a/internal/soak/worker_conn_test.go
+++ b/internal/soak/worker_conn_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"mastchute/internal/soak/changelog"
 )
 
 // newTestRunner returns a runner without dispatchers.
@@ -113,7 +115,7 @@
 	if _, err := s.reader.ReadByte(); err == nil {
 		t.Error("a connection survived its worker")
 	}
-	if member := s.worker.member(phaseActive); !strings.Contains(member, `"id":"s-03-1"`) || strings.Contains(member, `"up_since_ms":0}`) {
+	if member := s.worker.member(changelog.PhaseActive); !strings.Contains(member, `"id":"s-03-1"`) || strings.Contains(member, `"up_since_ms":0}`) {
 		t.Error(member)
 	}
 }
