--- a/control/api.go
+++ b/control/api.go
@@ -35,9 +35,9 @@
 	// SendPeerMessage sends a gossip message to one dispatcher, or to all with AllPeers.
 	SendPeerMessage(peer PeerID, message []byte)
 	// SubscribeWorkerList starts or ends the subscription to the endpoint list.
-	SubscribeWorkerList(on bool)
+	SubscribeEndpointList(on bool)
 	// FetchWorkerList requests one snapshot of the endpoint list.
-	FetchWorkerList()
+	FetchEndpointList()
 	// SetTimer schedules a call of TimerFired after a delay.
 	SetTimer(delay Seconds, timer TimerID)
 	// Log writes a message to the host's log.
@@ -50,7 +50,7 @@
 	// SetNow sets the clock for the events that follow.
 	SetNow(now Seconds)
 	// UpdateWorkers applies a watch event of the endpoint list, or records that discovery failed.
-	UpdateWorkers(kind WorkerListKind, version uint32, workers []WorkerInfo)
+	UpdateWorkers(kind EndpointListKind, version uint32, workers []WorkerInfo)
 	// RequestArrived records the arrival of a request.
 	RequestArrived(arrival Request)
 	// ResponseStarted records that a response has begun to reach the client.
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -15,7 +15,7 @@
 
 func (h *respondingHost) SendAttempt(id RequestID, w WorkerID, _ Seconds) {
 	h.dueAt = append(h.dueAt, h.now+0.05)
-	h.sent = append(h.sent, AttemptResult{ID: id, Worker: w, Duration: 0.05, ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true})
+	h.sent = append(h.sent, AttemptResult{ID: id, Worker: w, Duration: 0.05, ModelState: ModelLoaded, SameModelInFlight: -1, RequestAnswered: true})
 }
 func (h *respondingHost) Shed(RequestID, Seconds)          { h.rejected++ }
 func (h *respondingHost) Fail(RequestID)                   { h.rejected++ }
@@ -25,8 +25,8 @@
 func (h *respondingHost) ProbeWorker(WorkerID)             {}
 func (h *respondingHost) CloseIdleConnections(WorkerID)    {}
 func (h *respondingHost) SendPeerMessage(PeerID, []byte)   {}
-func (h *respondingHost) SubscribeWorkerList(bool)         {}
-func (h *respondingHost) FetchWorkerList()                 {}
+func (h *respondingHost) SubscribeEndpointList(bool)       {}
+func (h *respondingHost) FetchEndpointList()               {}
 func (h *respondingHost) SetTimer(Seconds, TimerID)        {}
 func (h *respondingHost) Log(string)                       {}
 
--- a/control/estimates.go
+++ b/control/estimates.go
@@ -49,7 +49,7 @@
 func (d *Dispatcher) learn(req *request, ended *attempt, result AttemptResult) {
 	requested := req.model
 	group := req.group
-	foundLoaded := result.ModelState == ModelWarm || result.ModelState == ModelStateUnknown && !ended.loading
+	foundLoaded := result.ModelState == ModelLoaded || result.ModelState == ModelStateUnknown && !ended.loading
 	switch {
 	case foundLoaded:
 		requested.learnRunTime(result.Duration)
--- a/control/events.go
+++ b/control/events.go
@@ -32,7 +32,7 @@
 // The model states.
 const (
 	ModelStateUnknown ModelState = iota
-	ModelWarm                    // the model was loaded
+	ModelLoaded                  // the model was loaded
 	LoadStarted                  // the request started a load
 	LoadAwaited                  // the request waited for a load that had been started before
 	LoadFailed                   // the load failed
@@ -59,15 +59,15 @@
 	StartedAt Seconds // time of the latest start, -Inf where that is long past or unknown
 }
 
-// WorkerListKind is the kind of a watch event of the endpoint list.
-type WorkerListKind uint8
+// EndpointListKind is the kind of a watch event of the endpoint list.
+type EndpointListKind uint8
 
 // The kinds of watch event.
 const (
-	ListDelta    WorkerListKind = iota // changed entries only
-	ListSnapshot                       // the complete list
-	ListCached                         // a complete list from a cache: discovery may still be unreachable
-	ListFailed                         // discovery could not be reached; no entries
+	ListDelta    EndpointListKind = iota // changed entries only
+	ListSnapshot                         // the complete list
+	ListCached                           // a complete list from a cache: discovery may still be unreachable
+	ListFailed                           // discovery could not be reached; no entries
 )
 
 // Request is a request of a client on arrival.
--- a/control/membership.go
+++ b/control/membership.go
@@ -5,7 +5,7 @@
 const evictGoneAfter = 300 // s after which a worker that is gone is evicted; one that restarts is listed again by then
 
 // UpdateWorkers applies a watch event of the endpoint list, or records that discovery could not be reached.
-func (d *Dispatcher) UpdateWorkers(kind WorkerListKind, _ uint32, list []WorkerInfo) {
+func (d *Dispatcher) UpdateWorkers(kind EndpointListKind, _ uint32, list []WorkerInfo) {
 	if kind == ListFailed {
 		d.subscription.failed(d.now)
 		return
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -5,7 +5,7 @@
 // Reconcile emits the actions that lead from the actual to the desired state.
 func (d *Dispatcher) Reconcile() {
 	if d.subscription.takeDue(d.now) {
-		d.actions.SubscribeWorkerList(true)
+		d.actions.SubscribeEndpointList(true)
 	}
 	for _, err := range d.settingErrors {
 		d.actions.Log(err.Error() + "; the default is used")
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -37,7 +37,7 @@
 
 var resultNames = map[string]Result{"succeeded": Succeeded, "worker-error": WorkerError, "at-capacity": AtCapacity, "timed-out": TimedOut,
 	"connect-failed": ConnectFailed, "connection-reset": ConnectionReset, "cancelled": Cancelled, "not-loaded": ModelNotLoaded}
-var modelStateNames = map[string]ModelState{"": ModelStateUnknown, "warm": ModelWarm, "load-started": LoadStarted,
+var modelStateNames = map[string]ModelState{"": ModelStateUnknown, "warm": ModelLoaded, "load-started": LoadStarted,
 	"load-awaited": LoadAwaited, "load-failed": LoadFailed}
 var workerStateNames = map[string]WorkerState{"": Ready, "ready": Ready, "draining": Draining, "gone": Gone}
 
@@ -61,8 +61,8 @@
 func (p *player) ProbeWorker(w WorkerID)            { p.record("probe %s", workerName(w)) }
 func (p *player) CloseIdleConnections(w WorkerID)   { p.record("close %s", workerName(w)) }
 func (p *player) SendPeerMessage(PeerID, []byte)    { p.record("peer-message") }
-func (p *player) SubscribeWorkerList(on bool)       { p.record("subscribe %v", on) }
-func (p *player) FetchWorkerList()                  { p.record("fetch") }
+func (p *player) SubscribeEndpointList(on bool)     { p.record("subscribe %v", on) }
+func (p *player) FetchEndpointList()                { p.record("fetch") }
 func (p *player) SetTimer(delay Seconds, _ TimerID) { p.timers = append(p.timers, p.now+delay) }
 func (p *player) Log(string)                        {}
 
@@ -312,7 +312,7 @@
 		d.SetNow(now)
 		d.RequestArrived(Request{ID: id, Model: 3, Concurrency: 4, Deadline: now + 5})
 		d.Reconcile()
-		d.AttemptFinished(AttemptResult{ID: id, Duration: 0.01, ModelState: ModelWarm, RequestAnswered: true})
+		d.AttemptFinished(AttemptResult{ID: id, Duration: 0.01, ModelState: ModelLoaded, RequestAnswered: true})
 		d.TimerFired(0)
 		d.Reconcile()
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -88,7 +88,7 @@
 	// OnMiss is what a worker does with a request whose model is not loaded there (models.on_miss).
 	OnMiss MissPolicy
 	// Orders allows load requests where workers reject such requests (models.orders).
-	Orders bool
+	RequestsAllowed bool
 	// KeepAlive is the time for which a worker keeps a model loaded after its last use; unlimited by default (models.keep).
 	KeepAlive Optional[Seconds]
 	// Window is the sliding window of the load request budget; 0 for no budget (models.load_window).
@@ -239,7 +239,7 @@
 		slowStartCapacity:    math.Max(minRatio, p.optional("rules.cold_share", from.SlowStart.InitialCapacity, defaultSlowStartCapacity, 0, 1)),
 		overloadFactor:       p.number("rules.overload_factor", from.SlowStart.OverloadFactor, 1, minRatio, never),
 		modelKeepAlive:       p.optional("models.keep", from.Loads.KeepAlive, never, 0, never), // until a miss or a restart is seen
-		loadsAllowed:         p.flag("models.orders", from.Loads.Orders),
+		loadsAllowed:         p.flag("models.orders", from.Loads.RequestsAllowed),
 		missPolicy:           knownMode(p, "models.on_miss", from.Loads.OnMiss, missNames[:]),
 		loadBudgetWindow:     p.number("models.load_window", from.Loads.Window, 0, 0, never),
 		loadBudgetBase:       p.number("models.load_few", from.Loads.Base, 0, 0, never),
--- a/control/settings_values.go
+++ b/control/settings_values.go
@@ -44,12 +44,12 @@
 			OverloadWindow:  p.number("rules.fall"),
 		},
 		Loads: LoadSettings{
-			OnMiss:     MissPolicy(p.modeIndex("models.on_miss", missNames[:])),
-			Orders:     p.flag("models.orders"),
-			KeepAlive:  p.optional("models.keep"),
-			Window:     p.number("models.load_window"),
-			Base:       p.number("models.load_few"),
-			PerRequest: p.number("models.load_share"),
+			OnMiss:          MissPolicy(p.modeIndex("models.on_miss", missNames[:])),
+			RequestsAllowed: p.flag("models.orders"),
+			KeepAlive:       p.optional("models.keep"),
+			Window:          p.number("models.load_window"),
+			Base:            p.number("models.load_few"),
+			PerRequest:      p.number("models.load_share"),
 		},
 		Attempts: AttemptSettings{
 			Max:     p.number("limits.max_attempts"),
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -95,7 +95,7 @@
 func (n *fleetNode) Fail(RequestID)                   {}
 func (n *fleetNode) CancelAttempt(RequestID, int)     {}
 func (n *fleetNode) LoadModel(WorkerID, ModelID, int) {}
-func (n *fleetNode) SubscribeWorkerList(bool)         {}
+func (n *fleetNode) SubscribeEndpointList(bool)       {}
 func (n *fleetNode) SetTimer(Seconds, TimerID)        { n.timerSet = true }
 
 func newSlowStartFleet(c slowStartRun, seed uint64) *slowStartFleet {
@@ -202,7 +202,7 @@
 	}
 	f.inFlight[i]--
 	n.d.AttemptFinished(AttemptResult{ID: answer.id, Attempt: answer.attempt, Worker: answer.worker, Duration: runRequestTime, Result: Succeeded,
-		ModelState: ModelWarm, SameModelInFlight: -1, RequestAnswered: true, LoadReport: report})
+		ModelState: ModelLoaded, SameModelInFlight: -1, RequestAnswered: true, LoadReport: report})
 }
 
 // worstFraction returns the largest fraction of its limit that a worker in slow start was sent within any overload window.
--- a/control/trace_test.go
+++ b/control/trace_test.go
@@ -58,8 +58,8 @@
 	case 3:
 		o.Duration = 2
 	default:
-		o.ModelState = []ModelState{ModelWarm, ModelWarm, ModelWarm, LoadStarted, LoadAwaited}[w.rnd.IntN(5)]
-		if o.ModelState != ModelWarm {
+		o.ModelState = []ModelState{ModelLoaded, ModelLoaded, ModelLoaded, LoadStarted, LoadAwaited}[w.rnd.IntN(5)]
+		if o.ModelState != ModelLoaded {
 			o.Duration += 0.5
 		}
 	}
@@ -93,8 +93,8 @@
 }
 func (w *simulatedFleet) CloseIdleConnections(WorkerID)  {}
 func (w *simulatedFleet) SendPeerMessage(PeerID, []byte) {}
-func (w *simulatedFleet) SubscribeWorkerList(on bool)    { w.record("subscribe %v", on) }
-func (w *simulatedFleet) FetchWorkerList()               { w.record("fetch") }
+func (w *simulatedFleet) SubscribeEndpointList(on bool)  { w.record("subscribe %v", on) }
+func (w *simulatedFleet) FetchEndpointList()             { w.record("fetch") }
 func (w *simulatedFleet) SetTimer(delay Seconds, timer TimerID) {
 	w.after(delay, func() { w.d.TimerFired(timer) })
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -36,7 +36,7 @@
 // run runs a dispatcher until it has stopped, and returns the exit code. The log is written to out. SIGHUP reads
 // settingsFile again; if it is empty, SIGHUP does nothing. onServing, if not nil, is called once the dispatcher listens.
 func run(cfg *config.Config, settingsFile string, out io.Writer, onServing func(*dispatcher)) int {
-	log, closeLog := Logger(cfg.Log, out)
+	log, closeLog := NewLogger(cfg.Log, out)
 	defer closeLog()
 	signals := lifecycle.NewSignals()
 	signals.Notify()
@@ -51,7 +51,7 @@
 		return ExitError
 	}
 	d.logServing()
-	watcher := &workerFileWatcher{dispatcher: d, file: cfg.Roster.File}
+	watcher := &workerFileWatcher{dispatcher: d, file: cfg.Discovery.WorkerFile}
 	watcher.check()
 	if onServing != nil {
 		onServing(d)
@@ -61,7 +61,7 @@
 
 // supervise handles signals, polls the worker file and retries reloads until the event loop has ended, and returns the exit code.
 func (d *dispatcher) supervise(signals *lifecycle.Signals, reload *reloader) int {
-	poll := time.NewTicker(toDuration(d.cfg.Roster.Every.Seconds))
+	poll := time.NewTicker(toDuration(d.cfg.Discovery.PollInterval.Seconds))
 	defer poll.Stop()
 	stopSignalled := false
 	for {
--- a/internal/app/demo.go
+++ b/internal/app/demo.go
@@ -17,8 +17,8 @@
 
 // DemoModels are the models that the emulated workers of the demonstration serve.
 var DemoModels = []emulator.ModelSpec{
-	{Name: "species-fern", Group: "read", MemoryMB: 300, Lanes: 4, Work: 0.05, Fetch: 0.4, Boot: 0.2},
-	{Name: "label-print", Group: "write", MemoryMB: 200, Lanes: 2, Work: 0.08, Fetch: 0.3, Boot: 0.2, Deduped: true},
+	{Name: "species-fern", Group: "read", MemoryMB: 300, Concurrency: 4, MeanWork: 0.05, FetchTime: 0.4, BootTime: 0.2},
+	{Name: "label-print", Group: "write", MemoryMB: 200, Concurrency: 2, MeanWork: 0.08, FetchTime: 0.3, BootTime: 0.2, Deduped: true},
 }
 
 // DemoSpec returns a fleet of emulated workers that serve the models.
@@ -26,9 +26,9 @@
 	spec := emulator.Spec{Models: models, Store: emulator.StoreSpec{Slots: 4, Limit: 16}, Seed: 1}
 	for i := range workers {
 		spec.Workers = append(spec.Workers, emulator.WorkerSpec{
-			Name: workerName(i), Cores: 4, Speed: 1, MemoryMB: 2000, Queue: 64,
-			Loads: 4, OnMiss: "load", Keep: 60, Disk: true, StopsCancelled: true,
-			ColdShare: 0.2, WarmAfter: 15, Overload: 2, Fall: 1, DedupWindow: 10,
+			Name: workerName(i), Cores: 4, Speed: 1, MemoryMB: 2000, QueueLimit: 64,
+			ConcurrentLoads: 4, OnMiss: "load", IdleTimeout: 60, CachesImages: true, StopsCancelled: true,
+			SlowStartCapacity: 0.2, SlowStartDuration: 15, OverloadFactor: 2, OverloadWindow: 1, DedupWindow: 10,
 		})
 	}
 	return spec
@@ -87,12 +87,12 @@
 	cfg.Listen = listen
 	cfg.Admin = adminAddress
 	cfg.Groups = []config.Group{
-		{Name: "read", Effect: "retriable", SLO: config.S(1), Timeout: config.S(5), Value: 1},
-		{Name: "write", Effect: "deduped", Scope: "all", Window: config.S(10), SLO: config.S(1), Timeout: config.S(5), Value: 2},
+		{Name: "read", Effect: "retriable", SLO: config.Seconds(1), Timeout: config.Seconds(5), PriorityWeight: 1},
+		{Name: "write", Effect: "deduped", DedupScope: "all", DedupWindow: config.Seconds(10), SLO: config.Seconds(1), Timeout: config.Seconds(5), PriorityWeight: 2},
 	}
 	for _, m := range DemoModels {
-		cfg.Models = append(cfg.Models, config.Model{Name: m.Name, Group: m.Group, Memory: config.B(int64(m.MemoryMB * 1e6)),
-			Lanes: float64(m.Lanes), Load: config.S(m.Fetch + m.Boot)})
+		cfg.Models = append(cfg.Models, config.Model{Name: m.Name, Group: m.Group, Memory: config.Bytes(int64(m.MemoryMB * 1e6)),
+			Concurrency: float64(m.Concurrency), LoadTime: config.Seconds(m.FetchTime + m.BootTime)})
 	}
 	for i := range demoWorkers {
 		cfg.Workers = append(cfg.Workers, config.Worker{Name: workerName(i), Address: workers.Addr(i).String()})
@@ -119,6 +119,6 @@
 	if d.admin != nil {
 		adminAddress = d.admin.Addr().String()
 	}
-	kinds := strings.Join(slices.Sorted(maps.Keys(emulator.Kinds)), ", ")
-	fmt.Fprintf(out, introduction, d.gateway.Addr(), adminAddress, workers.Control(), kinds)
+	kinds := strings.Join(slices.Sorted(maps.Keys(emulator.FaultDescriptions)), ", ")
+	fmt.Fprintf(out, introduction, d.gateway.Addr(), adminAddress, workers.FaultAddr(), kinds)
 }
--- a/internal/app/dispatcher.go
+++ b/internal/app/dispatcher.go
@@ -57,13 +57,13 @@
 // startWithRetry starts a dispatcher, again if the failure is transient. It returns lifecycle.ErrStopRequested if a stop
 // signal arrives between two attempts.
 func startWithRetry(cfg *config.Config, log zerolog.Logger, signals *lifecycle.Signals) (*dispatcher, error) {
-	backoff := lifecycle.NewRetry(time.Now(), startRetrySpan)
+	backoff := lifecycle.NewBackoff(time.Now(), startRetrySpan)
 	for {
 		d, err := newDispatcher(cfg, log)
 		if err == nil || !lifecycle.IsTransient(err) {
 			return d, err
 		}
-		switch signals.Await(&backoff, lifecycle.WholeDelay, nil) {
+		switch signals.AwaitRetry(&backoff, lifecycle.WholeDelay, nil) {
 		case lifecycle.RetriesExhausted:
 			return nil, err
 		case lifecycle.StopRequested:
--- a/internal/app/logger.go
+++ b/internal/app/logger.go
@@ -16,9 +16,9 @@
 	logPollInterval = 5 * time.Millisecond
 )
 
-// Logger returns a logger that never blocks its callers, and a function that flushes and closes it. It is safe for
+// NewLogger returns a logger that never blocks its callers, and a function that flushes and closes it. It is safe for
 // concurrent use.
-func Logger(settings config.Log, out io.Writer) (log zerolog.Logger, closeLog func()) {
+func NewLogger(settings config.Log, out io.Writer) (log zerolog.Logger, closeLog func()) {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	buffer := diode.NewWriter(out, logBufferLines, logPollInterval, func(dropped int) {
 		fmt.Fprintf(out, "{\"level\":\"warn\",\"dropped_log_lines\":%d}\n", dropped)
--- a/internal/app/reload.go
+++ b/internal/app/reload.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	workers, err := gateway.MembershipEntries(cfg.Workers)
+	workers, err := gateway.WorkerEntries(cfg.Workers)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -65,9 +65,9 @@
 		if err != nil {
 			log.Error().Err(err).Msg("workers of the settings rejected")
 		}
-		d.gateway.SetModels(cfg.Models)
+		d.gateway.SetCatalogue(cfg.Models)
 		d.gateway.SetLog(log, cfg.Log.Sample)
 	})
-	r.watcher.file = cfg.Roster.File
+	r.watcher.file = cfg.Discovery.WorkerFile
 	r.watcher.check()
 }
--- a/internal/app/workerfile.go
+++ b/internal/app/workerfile.go
@@ -45,7 +45,7 @@
 	w.dispatcher.loop.Post(func() {
 		err := gw.ReplaceWorkers(membership.SourceFile, entries)
 		if err != nil {
-			gw.WorkerListFailed(err)
+			gw.EndpointListFailed(err)
 		}
 	})
 }
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return gateway.MembershipEntries(workers)
+	return gateway.WorkerEntries(workers)
 }
 
 // reportError reports a failure to the gateway, which counts and logs it, unless it is the one reported last.
@@ -65,5 +65,5 @@
 		return
 	}
 	w.lastError = message
-	w.dispatcher.loop.Post(func() { w.dispatcher.gateway.WorkerListFailed(err) })
+	w.dispatcher.loop.Post(func() { w.dispatcher.gateway.EndpointListFailed(err) })
 }
--- a/internal/cli/lab_bench.go
+++ b/internal/cli/lab_bench.go
@@ -26,13 +26,13 @@
 		return err
 	}
 	rows, err := lab.Bench(lab.BenchOptions{
-		Self:    []string{self},
-		Workers: c.Workers,
-		Conns:   c.Conns,
-		Span:    c.Span,
-		Rounds:  c.Rounds,
-		Idle:    c.Idle,
-		Say:     os.Stderr,
+		Command:         []string{self},
+		Workers:         c.Workers,
+		Connections:     c.Conns,
+		Duration:        c.Span,
+		Rounds:          c.Rounds,
+		IdleConnections: c.Idle,
+		Progress:        os.Stderr,
 	})
 	if err != nil {
 		return err
--- a/internal/cli/lab_day.go
+++ b/internal/cli/lab_day.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	if report.Broken() {
+	if report.HasViolations() {
 		return errFailed
 	}
 	return nil
@@ -50,7 +50,7 @@
 	if c.Simulated {
 		clock = lab.Simulated
 	}
-	scenario, err := lab.LoadDay(c.File, clock)
+	scenario, err := lab.LoadScenario(c.File, clock)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 		return nil, nil, err
 	}
 	if !c.Simulated {
-		return lab.Play(ctx, scenario, lab.Options{Self: []string{self}, Dir: c.Keep, Say: os.Stderr})
+		return lab.Play(ctx, scenario, lab.Options{Command: []string{self}, Dir: c.Keep, Progress: os.Stderr})
 	}
 	evidence, report := lab.Simulate(ctx, scenario, nil, os.Stderr)
 	if c.Keep != "" {
@@ -80,7 +80,7 @@
 func (c *labDayCmd) output(evidence *lab.Evidence, report *lab.Report) error {
 	var errs []error
 	if c.Keep != "" {
-		errs = append(errs, writeJSONLines(c.Keep+"/tries.jsonl", evidence.Tries))
+		errs = append(errs, writeJSONLines(c.Keep+"/tries.jsonl", evidence.ClientAttempts))
 	}
 	if c.Page != "" {
 		errs = append(errs, writePage(c.Page, []*lab.Report{report}))
@@ -88,7 +88,7 @@
 	if c.JSON {
 		return errors.Join(append(errs, printJSON(report))...)
 	}
-	report.Write(os.Stdout)
+	report.WriteText(os.Stdout)
 	if c.Timeline {
 		report.WriteTimeline(os.Stdout)
 	}
@@ -101,7 +101,7 @@
 }
 
 func (c *labDrawCmd) Run() error {
-	text, err := lab.Draw(c.Seed)
+	text, err := lab.DrawScenario(c.Seed)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/lab_experiment.go
+++ b/internal/cli/lab_experiment.go
@@ -21,7 +21,7 @@
 func (f *experimentFlags) run(variants []lab.Variant) error {
 	ctx, stop := signalContext()
 	defer stop()
-	results, runErr := lab.Experiment(ctx, variants, lab.Limits{Seeds: f.Seeds, Least: f.Least, Jobs: f.Jobs}, os.Stderr)
+	results, runErr := lab.Experiment(ctx, variants, lab.Limits{Seeds: f.Seeds, MinDifference: f.Least, Concurrency: f.Jobs}, os.Stderr)
 	if results == nil {
 		return failed(runErr)
 	}
@@ -41,12 +41,12 @@
 			return err
 		}
 	} else {
-		lab.WriteRows(os.Stdout, results)
+		lab.WriteResults(os.Stdout, results)
 	}
 	if f.Plot == "" {
 		return nil
 	}
-	return lab.PlotRows(f.Plot, results)
+	return lab.PlotResults(f.Plot, results)
 }
 
 type labCompareCmd struct {
@@ -81,7 +81,7 @@
 	if err != nil {
 		return failed(err)
 	}
-	variants, err := lab.Vary(text, keys, values)
+	variants, err := lab.MakeVariants(text, keys, values)
 	if err != nil {
 		return failed(fmt.Errorf("%s: %w", c.Day, err))
 	}
--- a/internal/cli/lab_hunt.go
+++ b/internal/cli/lab_hunt.go
@@ -21,7 +21,7 @@
 func (c *labHuntCmd) Run() error {
 	ctx, stop := signalContext()
 	defer stop()
-	days, err := lab.Hunt(ctx, c.From, c.Budget, c.Keep, c.Jobs, os.Stderr)
+	days, err := lab.FindWeakScenarios(ctx, c.From, c.Budget, c.Keep, c.Jobs, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -40,15 +40,15 @@
 }
 
 // shrink writes a day that was found, reduced to what matters, and prints what makes it weak.
-func (c *labHuntCmd) shrink(ctx context.Context, day lab.Found) error {
+func (c *labHuntCmd) shrink(ctx context.Context, day lab.WeakScenario) error {
 	name := filepath.Join(c.Out, strings.ReplaceAll(day.Name, " ", "-"))
 	text := lab.Shrink(ctx, day, os.Stderr)
 	if err := os.WriteFile(name+".yaml", text, 0o644); err != nil {
 		return err
 	}
-	fmt.Printf("%s.yaml: service %.3f, %.3f without its troubles\n", name, day.Service, day.Quiet)
-	for _, rule := range day.Broken {
-		fmt.Printf("  rule %d broken %d times: %s\n", rule.Rule, rule.Broken, rule.Breaks[0])
+	fmt.Printf("%s.yaml: service %.3f, %.3f without its troubles\n", name, day.Service, day.ServiceWithoutFaults)
+	for _, rule := range day.Violated {
+		fmt.Printf("  rule %d broken %d times: %s\n", rule.Rule, rule.Violations, rule.Examples[0])
 	}
 	return nil
 }
--- a/internal/cli/lab_load.go
+++ b/internal/cli/lab_load.go
@@ -47,7 +47,7 @@
 			return failed(fmt.Errorf("%s: %w", c.Trace, err))
 		}
 	}
-	result, err := lab.Load(ctx, options)
+	result, err := lab.GenerateLoad(ctx, options)
 	if result == nil {
 		return failed(err)
 	}
@@ -56,21 +56,21 @@
 
 func (c *labLoadCmd) options() lab.LoadOptions {
 	options := lab.LoadOptions{
-		URL:       strings.TrimRight(c.URL, "/"),
-		Zipf:      c.Zipf,
-		Hot:       c.Hot,
-		Shift:     c.Shift,
-		Unseen:    c.Unseen,
-		Rate:      c.Rate,
-		Seconds:   c.For,
-		Burst:     c.Burst,
-		BurstOf:   c.BurstOf,
-		Tenants:   c.Tenant,
-		Timeout:   c.Timeout,
-		Impatient: c.Impatient,
-		Retries:   c.Retries,
-		Seed:      c.Seed,
-		Say:       os.Stderr,
+		URL:           strings.TrimRight(c.URL, "/"),
+		Zipf:          c.Zipf,
+		Hot:           c.Hot,
+		Shift:         c.Shift,
+		Unseen:        c.Unseen,
+		Rate:          c.Rate,
+		Duration:      c.For,
+		Burst:         c.Burst,
+		BurstDuration: c.BurstOf,
+		Tenants:       c.Tenant,
+		Timeout:       c.Timeout,
+		Impatient:     c.Impatient,
+		Retries:       c.Retries,
+		Seed:          c.Seed,
+		Progress:      os.Stderr,
 	}
 	for _, model := range c.Model {
 		options.Models = append(options.Models, expandModel(model)...)
@@ -108,7 +108,7 @@
 		return printJSONLine(result)
 	}
 	fmt.Printf("asked %d in %.1f s, %d tries, %d not sent, sent at most %.1f ms late; answers %v\n",
-		result.Asked, result.Seconds, result.Tries, result.NotSent, result.Late*1e3, result.Answers)
+		result.Asked, result.Seconds, result.Attempts, result.NotSent, result.MaxSendDelay*1e3, result.Answers)
 	printLatency("returned", result.Returned)
 	printLatency("all", result.All)
 	return nil
--- a/internal/cli/lab_soak.go
+++ b/internal/cli/lab_soak.go
@@ -53,14 +53,14 @@
 		for name, count := range result.Coverage {
 			coverage[name] += count
 		}
-		if len(result.Finds) > 0 {
+		if len(result.Violations) > 0 {
 			failedRuns++
 		}
 		if result.Partial {
 			fmt.Println("partial: stopped by a signal")
 			break
 		}
-		if c.Shrink && len(result.Finds) > 0 {
+		if c.Shrink && len(result.Violations) > 0 {
 			if err := c.shrink(ctx, result); err != nil {
 				return err
 			}
@@ -77,13 +77,13 @@
 }
 
 func (c *labSoakCmd) bounds() (soak.Bounds, error) {
-	bounds := soak.Bounds{Dispatchers: c.Dispatchers, Span: c.Span, Shims: c.Shims}
+	bounds := soak.Bounds{Dispatchers: c.Dispatchers, Duration: c.Span, FaultyBuild: c.Shims}
 	for _, name := range c.Only {
-		kind := soak.Kind(name)
-		if !slices.Contains(soak.Kinds, kind) {
-			return bounds, fmt.Errorf("no kind of trouble is named %q; there are %v", name, soak.Kinds)
+		kind := soak.FaultKind(name)
+		if !slices.Contains(soak.FaultKinds, kind) {
+			return bounds, fmt.Errorf("no kind of trouble is named %q; there are %v", name, soak.FaultKinds)
 		}
-		bounds.Only = append(bounds.Only, kind)
+		bounds.Kinds = append(bounds.Kinds, kind)
 	}
 	return bounds, nil
 }
@@ -99,8 +99,8 @@
 		return nil, err
 	}
 	fmt.Printf("seed %d: %d finds; %d requests %v, %d attempts; harness late by %.0f ms at most; %s\n",
-		plan.Seed, len(result.Finds), result.Requests, result.Endings, result.Attempts, result.Late*1e3, kindsOf(plan))
-	if len(result.Finds) > 0 {
+		plan.Seed, len(result.Violations), result.Requests, result.Outcomes, result.Attempts, result.HarnessDelay*1e3, kindsOf(plan))
+	if len(result.Violations) > 0 {
 		c.printFinds(plan, result)
 	}
 	return result, nil
@@ -109,23 +109,23 @@
 // kindsOf returns the kinds of fault in a plan, sorted and separated by spaces.
 func kindsOf(plan soak.Plan) string {
 	kinds := map[string]bool{}
-	for _, trouble := range plan.Troubles {
+	for _, trouble := range plan.Faults {
 		kinds[string(trouble.Kind)] = true
 	}
 	return strings.Join(slices.Sorted(maps.Keys(kinds)), " ")
 }
 
 func printTroubles(plan soak.Plan) {
-	for _, trouble := range plan.Troubles {
+	for _, trouble := range plan.Faults {
 		fmt.Println("   ", trouble)
 	}
 }
 
 // printFinds prints the broken promises, and the command that runs the plan again.
 func (c *labSoakCmd) printFinds(plan soak.Plan, result *soak.Result) {
-	for i, find := range result.Finds {
+	for i, find := range result.Violations {
 		if i == maxPrintedFinds {
-			fmt.Printf("  and %d more\n", len(result.Finds)-i)
+			fmt.Printf("  and %d more\n", len(result.Violations)-i)
 			break
 		}
 		fmt.Println("  find:", find)
@@ -157,12 +157,12 @@
 // shrink removes faults from a failed plan, ever smaller parts at a time, while the same promise is still broken, and
 // prints what remains.
 func (c *labSoakCmd) shrink(ctx context.Context, result *soak.Result) error {
-	rule := result.Finds[0].Rule
+	rule := result.Violations[0].Rule
 	plan := result.Plan
-	for size := (len(plan.Troubles) + 1) / 2; size > 0; size /= 2 {
-		for at := 0; at < len(plan.Troubles); {
+	for size := (len(plan.Faults) + 1) / 2; size > 0; size /= 2 {
+		for at := 0; at < len(plan.Faults); {
 			reduced := plan
-			reduced.Troubles = slices.Delete(slices.Clone(plan.Troubles), at, min(at+size, len(plan.Troubles)))
+			reduced.Faults = slices.Delete(slices.Clone(plan.Faults), at, min(at+size, len(plan.Faults)))
 			fails, err := c.breaks(ctx, reduced, rule)
 			if err != nil {
 				return err
@@ -190,7 +190,7 @@
 		if result.Partial {
 			return false, errStopped
 		}
-		if slices.ContainsFunc(result.Finds, func(find soak.Find) bool { return find.Rule == rule }) {
+		if slices.ContainsFunc(result.Violations, func(find soak.Violation) bool { return find.Rule == rule }) {
 			failures++
 		}
 	}
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -107,14 +107,14 @@
 
 // announce prints where the workers and the fault interface listen.
 func (c *standinCmd) announce(server *emulator.Server, spec emulator.Spec) error {
-	announce := lab.Announce{Control: server.Control().String()}
+	announce := lab.EmulatorAddresses{FaultAddr: server.FaultAddr().String()}
 	for i, worker := range spec.Workers {
-		announce.Workers = append(announce.Workers, lab.WorkerAt{Name: worker.Name, Address: server.Addr(i).String()})
+		announce.Workers = append(announce.Workers, lab.WorkerAddress{Name: worker.Name, Address: server.Addr(i).String()})
 	}
 	if c.JSON {
 		return printJSONLine(announce)
 	}
-	fmt.Printf("# faults: curl -d '{\"kind\":\"hang\",\"worker\":\"w1\",\"span\":10}' http://%s/fault\nworkers:\n", announce.Control)
+	fmt.Printf("# faults: curl -d '{\"kind\":\"hang\",\"worker\":\"w1\",\"span\":10}' http://%s/fault\nworkers:\n", announce.FaultAddr)
 	for _, worker := range announce.Workers {
 		fmt.Printf("  - {name: %s, address: %q}\n", worker.Name, worker.Address)
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -20,7 +20,7 @@
 	check.rules(&c.Rules)
 	check.loads(&c.Loads)
 	check.attempts(&c.Attempts)
-	check.loadReport(c.Report)
+	check.loadReport(c.LoadReportFields)
 	check.limits(&c.Limits)
 }
 
@@ -32,7 +32,7 @@
 }
 
 func (c *checker) report(path, format string, args ...any) {
-	c.source.At(c.root+"."+path, format, args...)
+	c.source.AddProblem(c.root+"."+path, format, args...)
 }
 
 func (c *checker) oneOf(path, value string, allowed ...string) {
--- a/internal/config/check_policy.go
+++ b/internal/config/check_policy.go
@@ -4,41 +4,41 @@
 
 func (c *checker) rules(rules *Rules) {
 	c.duration("rules.drain_grace", rules.DrainGrace, 0, 60)
-	c.between("rules.cold_share", rules.ColdShare, 0.01, 1, "")
-	c.duration("rules.warm_after", rules.WarmAfter, 0, 3600)
+	c.between("rules.cold_share", rules.SlowStartCapacity, 0.01, 1, "")
+	c.duration("rules.warm_after", rules.SlowStartDuration, 0, 3600)
 	c.between("rules.overload_factor", rules.OverloadFactor, 1, 1000, "")
-	c.duration("rules.fall", rules.Fall, 0.01, 3600)
-	c.duration("rules.ask_every", rules.AskEvery, 0.1, 3600)
+	c.duration("rules.fall", rules.OverloadWindow, 0.01, 3600)
+	c.duration("rules.ask_every", rules.DiscoveryBackoffMax, 0.1, 3600)
 }
 
 func (c *checker) loads(loads *Loads) {
 	c.oneOf("loads.on_miss", loads.OnMiss, "load", "miss")
-	if loads.OnMiss == "miss" && !loads.Orders {
+	if loads.OnMiss == "miss" && !loads.SendLoadCalls {
 		c.report("loads.orders", "workers answer a miss and may not be ordered to load: nothing would ever be loaded; write orders: true or on_miss: load")
 	}
-	c.duration("loads.keep", loads.Keep, 0, 86400)
+	c.duration("loads.keep", loads.KeepAlive, 0, 86400)
 	c.duration("loads.timeout", loads.Timeout, 0.1, 3600)
-	c.duration("loads.window", loads.Window, 0, 3600)
+	c.duration("loads.window", loads.BudgetWindow, 0, 3600)
 	c.loadBudget(loads)
-	c.between("loads.few", loads.Few, 0, 1e9, "")
-	c.between("loads.share", loads.Share, 0, 1e3, "")
+	c.between("loads.few", loads.BudgetBase, 0, 1e9, "")
+	c.between("loads.share", loads.BudgetPerRequest, 0, 1e3, "")
 }
 
 // loadBudget checks that the budget of load calls has a window and allows some.
 func (c *checker) loadBudget(loads *Loads) {
-	hasWindow := loads.Window.Seconds > 0
-	noneAllowed := loads.Few < 1 && loads.Share <= 0
-	hasBudget := loads.Few > 0 || loads.Share > 0
+	hasWindow := loads.BudgetWindow.Seconds > 0
+	noneAllowed := loads.BudgetBase < 1 && loads.BudgetPerRequest <= 0
+	hasBudget := loads.BudgetBase > 0 || loads.BudgetPerRequest > 0
 	switch {
 	case hasWindow && noneAllowed:
 		c.report("loads.few", "a window without few or share forbids every load order: write few: 5 or share: 0.1, or no window")
-	case loads.Window.Seconds == 0 && hasBudget:
+	case loads.BudgetWindow.Seconds == 0 && hasBudget:
 		c.report("loads.window", "few and share count within a window: write one, such as 10s")
 	}
 }
 
 func (c *checker) attempts(attempts *Attempts) {
-	c.between("forwards.most", float64(attempts.Most), 1, 8, "")
+	c.between("forwards.most", float64(attempts.Max), 1, 8, "")
 	c.between("forwards.probe_price", attempts.ProbePrice, 0, 1, "")
 	c.duration("forwards.max_retry_after", attempts.MaxRetryAfter, 0, 3600)
 }
--- a/internal/config/check_process.go
+++ b/internal/config/check_process.go
@@ -51,10 +51,10 @@
 	c.between("limits.connections", float64(limits.Connections), 1, 1e6, "")
 	c.between("limits.inferences", float64(limits.Requests), 1, 1e6, "")
 	c.between("limits.worker_connections", float64(limits.WorkerConnections), 1, 1e5, "")
-	c.between("limits.worker_idle", float64(limits.WorkerIdle), 1, 1e5, "")
+	c.between("limits.worker_idle", float64(limits.MaxIdleWorkerConnections), 1, 1e5, "")
 	c.size("limits.body", limits.Body, 1)
 	c.size("limits.memory", limits.Memory, 1<<16)
-	c.size("limits.answer", limits.Answer, 1024)
+	c.size("limits.answer", limits.Response, 1024)
 	c.size("limits.head", limits.Head, 1024)
 	if limits.Body.Bytes > limits.Memory.Bytes {
 		c.report("limits.body", "one body may be larger than the memory for all: write a smaller body or more memory")
--- a/internal/config/check_traffic.go
+++ b/internal/config/check_traffic.go
@@ -33,8 +33,8 @@
 		c.report(prefix+".slo", "%gs is longer than the timeout of %gs: nothing could be late", group.SLO.Seconds, group.Timeout.Seconds)
 	}
 	c.deduplication(prefix, group)
-	c.between(prefix+".slo_stretch", group.Stretch, 0, 1e6, "")
-	if group.Value < 0 || math.IsNaN(group.Value) {
+	c.between(prefix+".slo_stretch", group.SLOStretch, 0, 1e6, "")
+	if group.PriorityWeight < 0 || math.IsNaN(group.PriorityWeight) {
 		c.report(prefix+".value", "write a number that is not negative")
 	}
 }
@@ -42,13 +42,13 @@
 // deduplication checks that scope and window are written for deduped groups, and for these only.
 func (c *checker) deduplication(prefix string, group *Group) {
 	if group.Effect != "deduped" {
-		if group.Scope != "" || group.Window.Seconds > 0 {
+		if group.DedupScope != "" || group.DedupWindow.Seconds > 0 {
 			c.report(prefix+".effect", "scope and window are for deduped groups only: leave them out, or write effect: deduped")
 		}
 		return
 	}
-	c.oneOf(prefix+".scope", group.Scope, "all", "zone", "cell")
-	if group.Window.Seconds <= 0 {
+	c.oneOf(prefix+".scope", group.DedupScope, "all", "zone", "cell")
+	if group.DedupWindow.Seconds <= 0 {
 		c.report(prefix+".window", "is missing: write for how long workers drop a repeat, such as 4s")
 	}
 }
@@ -75,7 +75,7 @@
 		if _, known := groups[model.Group]; !known {
 			c.report(prefix+".group", "%q is no model group of this file: write one of groups[].name", model.Group)
 		}
-		c.between(prefix+".lanes", model.Lanes, 0, 1e6, "")
+		c.between(prefix+".lanes", model.Concurrency, 0, 1e6, "")
 		checkUniqueID(c, prefix+".name", model.Name, ModelID(model.Name), nameByID)
 	}
 	if len(models) == 0 {
--- a/internal/config/check_workers.go
+++ b/internal/config/check_workers.go
@@ -12,11 +12,11 @@
 // discovery checks that workers can become known, and how.
 func (c *checker) discovery(cfg *Config) {
 	c.workers(cfg.Workers)
-	if len(cfg.Workers) == 0 && cfg.Roster.File == "" && cfg.Admin == "off" {
+	if len(cfg.Workers) == 0 && cfg.Discovery.WorkerFile == "" && cfg.Admin == "off" {
 		c.report("workers", "there is none, and no roster.file or admin interface to learn of any")
 	}
-	c.oneOf("roster.discovery", cfg.Roster.Discovery, "push", "ask")
-	c.duration("roster.every", cfg.Roster.Every, 0.05, 3600)
+	c.oneOf("roster.discovery", cfg.Discovery.Mode, "push", "ask")
+	c.duration("roster.every", cfg.Discovery.PollInterval, 0.05, 3600)
 }
 
 // workers checks the workers of a settings file or of a worker file.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,24 +14,24 @@
 // Config holds the settings of a dispatcher. docs/operators.md describes each of them; the comments here name units and
 // whatever a key leaves open. A Config that Load or Parse returned is not changed afterwards.
 type Config struct {
-	Name        string   `yaml:"name"` // begins the ids of this dispatcher's requests
-	Listen      string   `yaml:"listen"`
-	Admin       string   `yaml:"admin"` // address, or "off"
-	Seed        uint64   `yaml:"seed"`  // of random decisions; 0 for one from the clock
-	Dispatchers int      `yaml:"dispatchers"`
-	Tick        Duration `yaml:"tick"`
-	StopGrace   Duration `yaml:"stop_grace"`
-	Log         Log      `yaml:"log"`
-	Groups      []Group  `yaml:"groups"`
-	Tenants     []Tenant `yaml:"tenants"`
-	Models      []Model  `yaml:"models"`
-	Workers     []Worker `yaml:"workers"`
-	Roster      Roster   `yaml:"roster"`
-	Rules       Rules    `yaml:"rules"`
-	Loads       Loads    `yaml:"loads"`
-	Attempts    Attempts `yaml:"forwards"`
-	Report      []string `yaml:"load_report"` // the fields of a worker's load report, in order
-	Limits      Limits   `yaml:"limits"`
+	Name             string    `yaml:"name"` // begins the ids of this dispatcher's requests
+	Listen           string    `yaml:"listen"`
+	Admin            string    `yaml:"admin"` // address, or "off"
+	Seed             uint64    `yaml:"seed"`  // of random decisions; 0 for one from the clock
+	Dispatchers      int       `yaml:"dispatchers"`
+	Tick             Duration  `yaml:"tick"`
+	StopGrace        Duration  `yaml:"stop_grace"`
+	Log              Log       `yaml:"log"`
+	Groups           []Group   `yaml:"groups"`
+	Tenants          []Tenant  `yaml:"tenants"`
+	Models           []Model   `yaml:"models"`
+	Workers          []Worker  `yaml:"workers"`
+	Discovery        Discovery `yaml:"roster"`
+	Rules            Rules     `yaml:"rules"`
+	Loads            Loads     `yaml:"loads"`
+	Attempts         Attempts  `yaml:"forwards"`
+	LoadReportFields []string  `yaml:"load_report"` // the fields of a worker's load report, in order
+	Limits           Limits    `yaml:"limits"`
 }
 
 // Log holds the settings of the log.
@@ -43,14 +43,14 @@
 
 // Group is a model group: models with the same latency objective, timeout and effect of a repetition.
 type Group struct {
-	Name    string   `yaml:"name"`
-	Effect  string   `yaml:"effect"` // what a second run of a request does
-	Scope   string   `yaml:"scope"`  // deduped only: the workers that share their idempotency keys
-	Window  Duration `yaml:"window"` // deduped only: workers drop a repetition for so long
-	SLO     Duration `yaml:"slo"`
-	Timeout Duration `yaml:"timeout"`
-	Value   float64  `yaml:"value"`       // priority weight of a request
-	Stretch float64  `yaml:"slo_stretch"` // the latency objective grows by this multiple of a request's own work
+	Name           string   `yaml:"name"`
+	Effect         string   `yaml:"effect"` // what a second run of a request does
+	DedupScope     string   `yaml:"scope"`  // deduped only: the workers that share their idempotency keys
+	DedupWindow    Duration `yaml:"window"` // deduped only: workers drop a repetition for so long
+	SLO            Duration `yaml:"slo"`
+	Timeout        Duration `yaml:"timeout"`
+	PriorityWeight float64  `yaml:"value"`       // priority weight of a request
+	SLOStretch     float64  `yaml:"slo_stretch"` // the latency objective grows by this multiple of a request's own work
 }
 
 // Tenant is a group of clients with a quota.
@@ -61,11 +61,11 @@
 
 // Model describes one model or, if its name is a pattern, several. The first entry that matches a model's name applies.
 type Model struct {
-	Name   string   `yaml:"name"`
-	Group  string   `yaml:"group"`
-	Memory Size     `yaml:"memory"` // of a loaded replica; 0 if unknown
-	Lanes  float64  `yaml:"lanes"`  // requests that a replica runs at a time; 0 if unknown
-	Load   Duration `yaml:"load"`   // time to load it; 0 if unknown
+	Name        string   `yaml:"name"`
+	Group       string   `yaml:"group"`
+	Memory      Size     `yaml:"memory"` // of a loaded replica; 0 if unknown
+	Concurrency float64  `yaml:"lanes"`  // requests that a replica runs at a time; 0 if unknown
+	LoadTime    Duration `yaml:"load"`   // time to load it; 0 if unknown
 }
 
 // Worker is an entry of the endpoint list.
@@ -79,37 +79,37 @@
 	State   string  `yaml:"state"` // "" for ready
 }
 
-// Roster holds the settings of discovery: where the endpoint list comes from, beside Config.Workers.
-type Roster struct {
-	Discovery string   `yaml:"discovery"` // push, or ask: changes are delivered only after a subscription
-	File      string   `yaml:"file"`      // worker file, "" for none
-	Every     Duration `yaml:"every"`     // poll interval of the worker file
+// Discovery holds the settings of discovery: where the endpoint list comes from, beside Config.Workers.
+type Discovery struct {
+	Mode         string   `yaml:"discovery"` // push, or ask: changes are delivered only after a subscription
+	WorkerFile   string   `yaml:"file"`      // worker file, "" for none
+	PollInterval Duration `yaml:"every"`     // poll interval of the worker file
 }
 
 // Rules holds the parameters of the platform's rules on draining workers, slow start and discovery.
 type Rules struct {
-	DrainGrace     Duration `yaml:"drain_grace"`     // requests may be sent to a worker for so long after it drains or is gone
-	ColdShare      float64  `yaml:"cold_share"`      // initial capacity in slow start, as a share of the full one
-	WarmAfter      Duration `yaml:"warm_after"`      // duration of slow start
-	OverloadFactor float64  `yaml:"overload_factor"` // a worker is overloaded beyond this multiple of its present capacity
-	Fall           Duration `yaml:"fall"`            // a worker in slow start that is overloaded for so long fails
-	AskEvery       Duration `yaml:"ask_every"`       // longest backoff between two requests to discovery
+	DrainGrace          Duration `yaml:"drain_grace"`     // requests may be sent to a worker for so long after it drains or is gone
+	SlowStartCapacity   float64  `yaml:"cold_share"`      // initial capacity in slow start, as a share of the full one
+	SlowStartDuration   Duration `yaml:"warm_after"`      // duration of slow start
+	OverloadFactor      float64  `yaml:"overload_factor"` // a worker is overloaded beyond this multiple of its present capacity
+	OverloadWindow      Duration `yaml:"fall"`            // a worker in slow start that is overloaded for so long fails
+	DiscoveryBackoffMax Duration `yaml:"ask_every"`       // longest backoff between two requests to discovery
 }
 
 // Loads holds the settings of model loads.
 type Loads struct {
-	OnMiss  string   `yaml:"on_miss"` // what a worker does with a request for a model that it has not loaded
-	Orders  bool     `yaml:"orders"`  // the dispatcher may send load calls
-	Keep    Duration `yaml:"keep"`    // a worker keeps an idle model for at least so long
-	Timeout Duration `yaml:"timeout"` // of a load call
-	Window  Duration `yaml:"window"`  // sliding window of the budget of load calls; 0 for no budget
-	Few     float64  `yaml:"few"`     // load calls allowed in a window
-	Share   float64  `yaml:"share"`   // load calls allowed on top for each request that arrived in the window
+	OnMiss           string   `yaml:"on_miss"` // what a worker does with a request for a model that it has not loaded
+	SendLoadCalls    bool     `yaml:"orders"`  // the dispatcher may send load calls
+	KeepAlive        Duration `yaml:"keep"`    // a worker keeps an idle model for at least so long
+	Timeout          Duration `yaml:"timeout"` // of a load call
+	BudgetWindow     Duration `yaml:"window"`  // sliding window of the budget of load calls; 0 for no budget
+	BudgetBase       float64  `yaml:"few"`     // load calls allowed in a window
+	BudgetPerRequest float64  `yaml:"share"`   // load calls allowed on top for each request that arrived in the window
 }
 
 // Attempts holds the limits on what is sent to workers for one request.
 type Attempts struct {
-	Most          int      `yaml:"most"`          // attempts of one request
+	Max           int      `yaml:"most"`          // attempts of one request
 	Hedging       bool     `yaml:"second_copies"` // hedged requests are allowed
 	Cancel        bool     `yaml:"cancel"`        // attempts that are no longer needed may be cancelled
 	Probes        bool     `yaml:"probes"`        // health checks are allowed
@@ -119,19 +119,19 @@
 
 // Limits bounds the connections, requests and memory that the process holds.
 type Limits struct {
-	Connections       int      `yaml:"connections"` // of clients
-	Requests          int      `yaml:"inferences"`  // in flight
-	Body              Size     `yaml:"body"`        // of one request
-	Memory            Size     `yaml:"memory"`      // of all request bodies
-	Answer            Size     `yaml:"answer"`      // a longer response is streamed rather than buffered
-	Head              Size     `yaml:"head"`        // of a request
-	IdleTimeout       Duration `yaml:"idle_timeout"`
-	HeadTimeout       Duration `yaml:"head_timeout"`
-	BodyTimeout       Duration `yaml:"body_timeout"`       // between two pieces of a body
-	WorkerConnections int      `yaml:"worker_connections"` // to each worker
-	WorkerIdle        int      `yaml:"worker_idle"`        // idle connections to each worker
-	WorkerIdleTimeout Duration `yaml:"worker_idle_timeout"`
-	ConnectTimeout    Duration `yaml:"connect_timeout"` // to a worker
+	Connections              int      `yaml:"connections"` // of clients
+	Requests                 int      `yaml:"inferences"`  // in flight
+	Body                     Size     `yaml:"body"`        // of one request
+	Memory                   Size     `yaml:"memory"`      // of all request bodies
+	Response                 Size     `yaml:"answer"`      // a longer response is streamed rather than buffered
+	Head                     Size     `yaml:"head"`        // of a request
+	IdleTimeout              Duration `yaml:"idle_timeout"`
+	HeadTimeout              Duration `yaml:"head_timeout"`
+	BodyTimeout              Duration `yaml:"body_timeout"`       // between two pieces of a body
+	WorkerConnections        int      `yaml:"worker_connections"` // to each worker
+	MaxIdleWorkerConnections int      `yaml:"worker_idle"`        // idle connections to each worker
+	WorkerIdleTimeout        Duration `yaml:"worker_idle_timeout"`
+	ConnectTimeout           Duration `yaml:"connect_timeout"` // to a worker
 }
 
 // ModelID returns the id of the model with a name: the same in every dispatcher, after every start.
@@ -146,38 +146,38 @@
 		Tick:        control.Some(c.Tick.Seconds),
 		Dispatchers: float64(c.Dispatchers),
 		Discovery: control.DiscoverySettings{
-			Mode:       control.ParseDiscoveryMode(c.Roster.Discovery),
-			BackoffMax: c.Rules.AskEvery.Seconds,
+			Mode:       control.ParseDiscoveryMode(c.Discovery.Mode),
+			BackoffMax: c.Rules.DiscoveryBackoffMax.Seconds,
 		},
 		SlowStart: control.SlowStartSettings{
-			InitialCapacity: control.Some(c.Rules.ColdShare),
-			Duration:        c.Rules.WarmAfter.Seconds,
+			InitialCapacity: control.Some(c.Rules.SlowStartCapacity),
+			Duration:        c.Rules.SlowStartDuration.Seconds,
 			OverloadFactor:  c.Rules.OverloadFactor,
-			OverloadWindow:  c.Rules.Fall.Seconds,
+			OverloadWindow:  c.Rules.OverloadWindow.Seconds,
 		},
 		Loads: control.LoadSettings{
-			OnMiss:     control.ParseMissPolicy(c.Loads.OnMiss),
-			Orders:     c.Loads.Orders,
-			KeepAlive:  control.Some(c.Loads.Keep.Seconds),
-			Window:     c.Loads.Window.Seconds,
-			Base:       c.Loads.Few,
-			PerRequest: c.Loads.Share,
+			OnMiss:          control.ParseMissPolicy(c.Loads.OnMiss),
+			RequestsAllowed: c.Loads.SendLoadCalls,
+			KeepAlive:       control.Some(c.Loads.KeepAlive.Seconds),
+			Window:          c.Loads.BudgetWindow.Seconds,
+			Base:            c.Loads.BudgetBase,
+			PerRequest:      c.Loads.BudgetPerRequest,
 		},
-		Attempts: control.AttemptSettings{Max: float64(c.Attempts.Most), Hedging: c.Attempts.Hedging, Cancel: c.Attempts.Cancel},
+		Attempts: control.AttemptSettings{Max: float64(c.Attempts.Max), Hedging: c.Attempts.Hedging, Cancel: c.Attempts.Cancel},
 		Probes:   control.ProbeSettings{Allowed: c.Attempts.Probes, Price: c.Attempts.ProbePrice},
 		RetryAfter: control.RetryAfterSettings{
 			Allowed: c.Attempts.MaxRetryAfter.Seconds > 0,
 			Max:     c.Attempts.MaxRetryAfter.Seconds,
 		},
-		LoadReportFields: slices.Clone(c.Report),
+		LoadReportFields: slices.Clone(c.LoadReportFields),
 	}
 	for _, group := range c.Groups {
 		settings.Groups = append(settings.Groups, control.GroupSettings{
 			Effect:     control.ParseEffect(group.Effect),
-			Scope:      control.ParseDedupScope(group.Scope),
-			Window:     group.Window.Seconds,
+			Scope:      control.ParseDedupScope(group.DedupScope),
+			Window:     group.DedupWindow.Seconds,
 			SLO:        control.Some(group.SLO.Seconds),
-			SLOStretch: group.Stretch,
+			SLOStretch: group.SLOStretch,
 			Timeout:    control.Some(group.Timeout.Seconds),
 		})
 	}
@@ -207,11 +207,11 @@
 		{"log.format", c.Log.Format == next.Log.Format},
 		{"groups", slices.Equal(c.Groups, next.Groups)},
 		{"tenants", slices.Equal(c.Tenants, next.Tenants)},
-		{"roster.discovery", c.Roster.Discovery == next.Roster.Discovery},
+		{"roster.discovery", c.Discovery.Mode == next.Discovery.Mode},
 		{"rules", c.Rules == next.Rules},
 		{"loads", c.Loads == next.Loads},
 		{"forwards", c.Attempts == next.Attempts},
-		{"load_report", slices.Equal(c.Report, next.Report)},
+		{"load_report", slices.Equal(c.LoadReportFields, next.LoadReportFields)},
 		{"limits", c.Limits == next.Limits},
 	} {
 		if !setting.unchanged {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	d := Default()
-	if c.Rules.DrainGrace.Seconds != 0.5 || c.Rules.ColdShare != d.Rules.ColdShare || c.Limits != d.Limits || c.Models[0].Memory.Bytes != 300e6 {
+	if c.Rules.DrainGrace.Seconds != 0.5 || c.Rules.SlowStartCapacity != d.Rules.SlowStartCapacity || c.Limits != d.Limits || c.Models[0].Memory.Bytes != 300e6 {
 		t.Errorf("%+v", c.Rules)
 	}
 	// Marshalled and parsed again, the settings are the same.
@@ -93,7 +93,7 @@
 	if len(s.Tenants) != 2 || s.Tenants[0].Quota != control.Some(20.0) || s.Tenants[1] != (control.TenantSettings{}) {
 		t.Errorf("tenants %+v: want a quota of 20 and none", s.Tenants)
 	}
-	loads := control.LoadSettings{OnMiss: control.MissRejects, Orders: true, KeepAlive: control.Some(3.0), Window: 10, Base: 5, PerRequest: 0.1}
+	loads := control.LoadSettings{OnMiss: control.MissRejects, RequestsAllowed: true, KeepAlive: control.Some(3.0), Window: 10, Base: 5, PerRequest: 0.1}
 	if s.Loads != loads {
 		t.Errorf("loads %+v, want %+v", s.Loads, loads)
 	}
@@ -110,8 +110,8 @@
 		t.Errorf("the decisions can't use them: %v", err)
 	}
 	// Every field of the settings is set where no setting of the file has its zero value.
-	c.Roster.Discovery = "ask"
-	c.Groups[1].Stretch = 2
+	c.Discovery.Mode = "ask"
+	c.Groups[1].SLOStretch = 2
 	if fields := checkSet(t, "Settings", reflect.ValueOf(c.Settings())); fields < 25 {
 		t.Errorf("%d fields were checked", fields)
 	}
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -45,9 +45,9 @@
 	return s, nil
 }
 
-// At reports a problem of the setting at path, such as $.groups[0].slo. If it is not written, the position is that of its
+// AddProblem reports a problem of the setting at path, such as $.groups[0].slo. If it is not written, the position is that of its
 // nearest ancestor that is.
-func (s *Source) At(path, format string, args ...any) {
+func (s *Source) AddProblem(path, format string, args ...any) {
 	problem := Problem{File: s.file, Text: strings.TrimPrefix(path, "$.") + ": " + fmt.Sprintf(format, args...)}
 	problem.Line, problem.Column = s.position(path)
 	s.problems = append(s.problems, problem)
@@ -176,6 +176,6 @@
 // reportError reports err, if it is not nil, as a problem at path.
 func (s *Source) reportError(path string, err error) {
 	if err != nil {
-		s.At(path, "%s", err)
+		s.AddProblem(path, "%s", err)
 	}
 }
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -38,8 +38,8 @@
 	text    string // as written, until Decode has parsed it
 }
 
-// S returns a Duration of so many seconds.
-func S(seconds float64) Duration { return Duration{Seconds: seconds} }
+// Seconds returns a Duration of so many seconds.
+func Seconds(seconds float64) Duration { return Duration{Seconds: seconds} }
 
 // UnmarshalYAML keeps the text. Decode parses it afterwards, when it can report line and column.
 func (d *Duration) UnmarshalYAML(get func(any) error) error { return get(&d.text) }
@@ -56,7 +56,7 @@
 	if !found || err != nil || !inRange {
 		return fmt.Errorf("%q is not a span: write a number and its unit (us, ms, s, m, h), such as 250ms or 1.5s", d.text)
 	}
-	*d = S(value * factor)
+	*d = Seconds(value * factor)
 	return nil
 }
 
@@ -66,8 +66,8 @@
 	text  string // as written, until Decode has parsed it
 }
 
-// B returns a Size of n bytes.
-func B(n int64) Size { return Size{Bytes: n} }
+// Bytes returns a Size of n bytes.
+func Bytes(n int64) Size { return Size{Bytes: n} }
 
 // MB returns the size in megabytes (10^6 bytes).
 func (s Size) MB() float64 { return float64(s.Bytes) / 1e6 }
@@ -85,6 +85,6 @@
 	if !found || err != nil || !inRange {
 		return fmt.Errorf("%q is not a size: write a number and its unit (B, kB, MB, GB, KiB, MiB, GiB), such as 300MB", s.text)
 	}
-	*s = B(int64(value * factor))
+	*s = Bytes(int64(value * factor))
 	return nil
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -24,8 +24,8 @@
 	FaultCut          = "cut"
 )
 
-// Kinds describes each kind of fault by its effect.
-var Kinds = map[string]string{
+// FaultDescriptions describes each kind of fault by its effect.
+var FaultDescriptions = map[string]string{
 	FaultFastErrors:   "answers 500 at once to a share of inferences",
 	FaultHang:         "accepts inferences and answers none",
 	FaultVanish:       "crashes, closes its connections and returns under its name in slow start",
@@ -43,7 +43,7 @@
 }
 
 // FaultNames returns the names of all kinds of fault, sorted.
-func FaultNames() []string { return slices.Sorted(maps.Keys(Kinds)) }
+func FaultNames() []string { return slices.Sorted(maps.Keys(FaultDescriptions)) }
 
 // Fault is a fault of one worker, of several workers or of the store. Its field names are the JSON keys of POST /fault.
 type Fault struct {
@@ -66,7 +66,7 @@
 // InjectFault starts a fault that lasts its span. It returns false for an unknown kind or worker.
 func (f *Fleet) InjectFault(now float64, fault Fault) bool {
 	f.Advance(now)
-	if _, ok := Kinds[fault.Kind]; !ok {
+	if _, ok := FaultDescriptions[fault.Kind]; !ok {
 		return false
 	}
 	if fault.Factor <= 0 {
@@ -195,7 +195,7 @@
 	w.returnAt = returnAt
 	f.log(w, EventCrashed, nil)
 	for _, c := range w.copies {
-		c.imageCached = c.imageCached && w.spec.Disk
+		c.imageCached = c.imageCached && w.spec.CachesImages
 	}
 	for _, c := range w.active {
 		if c.fetching() {
--- a/internal/emulator/fault_service.go
+++ b/internal/emulator/fault_service.go
@@ -13,8 +13,8 @@
 // HeadReceived implements httpconn.Service: bodies are buffered.
 func (fs *faultService) HeadReceived(*httpconn.Exchange) bool { return false }
 
-// RequestRefused implements httpconn.Service.
-func (fs *faultService) RequestRefused(*httpcodec.Error) {}
+// RequestRejected implements httpconn.Service.
+func (fs *faultService) RequestRejected(*httpcodec.Error) {}
 
 // StreamWritable implements httpconn.Service.
 func (fs *faultService) StreamWritable(*httpconn.Exchange) {}
@@ -27,11 +27,11 @@
 	var fault Fault
 	err := json.Unmarshal(x.Body, &fault)
 	if err != nil || string(x.Head.Target) != "/fault" {
-		x.Problem(400, "write POST /fault with kind, worker, share, factor, span, what")
+		x.RespondProblem(400, "write POST /fault with kind, worker, share, factor, span, what")
 		return
 	}
 	if !fs.emulator.injectFault(fault) {
-		x.Problem(404, "no such kind or worker")
+		x.RespondProblem(404, "no such kind or worker")
 		return
 	}
 	x.FinishResponse(x.StartResponse(200), nil)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -129,7 +129,7 @@
 
 func (f *Fleet) acceptRequest(w *worker, r *Request, spec *ModelSpec) {
 	r.Group = spec.Group
-	r.remaining = spec.Work * (0.5 + f.rnd.Float64())
+	r.remaining = spec.MeanWork * (0.5 + f.rnd.Float64())
 	if r.remaining <= 0 {
 		r.remaining = minWork
 	}
@@ -156,7 +156,7 @@
 // enqueue lets a request wait for a copy, and starts a load if there is none.
 func (f *Fleet) enqueue(w *worker, r *Request, c *modelCopies) {
 	r.SameModelInFlight = len(c.waiting) + c.busy
-	if w.queued() >= w.spec.Queue {
+	if w.queued() >= w.spec.QueueLimit {
 		f.reject(w, r, RejectedFull)
 		return
 	}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -10,10 +10,10 @@
 // testSpec describes n equal workers, a plain model and a deduplicated one.
 func testSpec(n int) Spec {
 	s := Spec{Seed: 1, Store: StoreSpec{Slots: 1, Limit: 2},
-		Models: []ModelSpec{{Name: "m-*", Group: "g", MemoryMB: 100, Lanes: 2, Work: 0.1, Fetch: 0.4, Boot: 0.2}, {Name: "k", Group: "d", MemoryMB: 100, Lanes: 2, Work: 0.1, Fetch: 0.4, Boot: 0.2, Deduped: true}}}
+		Models: []ModelSpec{{Name: "m-*", Group: "g", MemoryMB: 100, Concurrency: 2, MeanWork: 0.1, FetchTime: 0.4, BootTime: 0.2}, {Name: "k", Group: "d", MemoryMB: 100, Concurrency: 2, MeanWork: 0.1, FetchTime: 0.4, BootTime: 0.2, Deduped: true}}}
 	for i := range n {
-		s.Workers = append(s.Workers, WorkerSpec{Name: string(rune('a' + i)), Cores: 2, Speed: 1, MemoryMB: 250, Queue: 4, Loads: 2, OnMiss: LoadOnMiss,
-			Keep: 2, ColdShare: 0.25, WarmAfter: 4, Overload: 2, Fall: 1, DedupWindow: 3, DedupScope: DedupAll})
+		s.Workers = append(s.Workers, WorkerSpec{Name: string(rune('a' + i)), Cores: 2, Speed: 1, MemoryMB: 250, QueueLimit: 4, ConcurrentLoads: 2, OnMiss: LoadOnMiss,
+			IdleTimeout: 2, SlowStartCapacity: 0.25, SlowStartDuration: 4, OverloadFactor: 2, OverloadWindow: 1, DedupWindow: 3, DedupScope: DedupAll})
 	}
 	return s
 }
@@ -100,8 +100,8 @@
 func TestModelsHaveTheirOwnDedupScopeAndWindow(t *testing.T) {
 	s := testSpec(2)
 	s.Workers[1].Zone = "z"
-	s.Models = []ModelSpec{{Name: "all", MemoryMB: 1, Lanes: 1, Work: 0.01, Deduped: true, DedupScope: DedupAll, DedupWindow: 9},
-		{Name: "zone", MemoryMB: 1, Lanes: 1, Work: 0.01, Deduped: true, DedupScope: DedupZone, DedupWindow: 9}}
+	s.Models = []ModelSpec{{Name: "all", MemoryMB: 1, Concurrency: 1, MeanWork: 0.01, Deduped: true, DedupScope: DedupAll, DedupWindow: 9},
+		{Name: "zone", MemoryMB: 1, Concurrency: 1, MeanWork: 0.01, Deduped: true, DedupScope: DedupZone, DedupWindow: 9}}
 	f := NewFleet(s, false)
 	ran := map[string]int{}
 	f.OnEvent = func(_ float64, _ string, event Event, r *Request) {
@@ -182,7 +182,7 @@
 					if c.isLoading {
 						memory += c.spec.MemoryMB
 					}
-					if busy += c.busy; c.busy < 0 || c.ready < 0 || c.busy > max(c.ready, 1)*c.spec.Lanes {
+					if busy += c.busy; c.busy < 0 || c.ready < 0 || c.busy > max(c.ready, 1)*c.spec.Concurrency {
 						t.Fatalf("seed %d: %d busy in %d copies", seed, c.busy, c.ready)
 					}
 				}
--- a/internal/emulator/loading.go
+++ b/internal/emulator/loading.go
@@ -37,7 +37,7 @@
 			loading++
 		}
 	}
-	if loading >= w.spec.Loads || !f.freeMemory(w, c) {
+	if loading >= w.spec.ConcurrentLoads || !f.freeMemory(w, c) {
 		return false
 	}
 	if !c.imageCached && f.spec.Store.Limit > 0 && f.fetching >= f.spec.Store.Limit {
@@ -45,14 +45,14 @@
 		return false
 	}
 	c.isLoading = true
-	c.bootLeft = math.Max(minLoadTime, c.spec.Boot)
+	c.bootLeft = math.Max(minLoadTime, c.spec.BootTime)
 	c.fetchLeft = 0
 	w.memory += c.spec.MemoryMB
 	if !c.imageCached {
 		f.fetching++
 		f.storeChanged = true
 		f.Fetches++
-		c.fetchLeft = math.Max(minLoadTime, c.spec.Fetch)
+		c.fetchLeft = math.Max(minLoadTime, c.spec.FetchTime)
 		f.log(w, EventFetchStarted, &Request{Model: c.name})
 	}
 	f.log(w, EventLoadStarted, &Request{Model: c.name})
@@ -118,7 +118,7 @@
 		if c.bootLeft <= finishedBelow {
 			f.finishLoad(w, c)
 		}
-	case w.spec.Keep > 0 && c.idle() && f.now >= c.idleSince+w.spec.Keep-finishedBelow:
+	case w.spec.IdleTimeout > 0 && c.idle() && f.now >= c.idleSince+w.spec.IdleTimeout-finishedBelow:
 		f.unloadIdle(w, c)
 	}
 }
--- a/internal/emulator/response.go
+++ b/internal/emulator/response.go
@@ -64,7 +64,7 @@
 	x.StartStream(head, int64(len(body)+truncatedBytes))
 	x.WriteStream(body)
 	if r.TruncateResponse {
-		x.CloseAfter()
+		x.CloseAfterResponse()
 		x.EndStream()
 		return
 	}
--- a/internal/emulator/schedule.go
+++ b/internal/emulator/schedule.go
@@ -153,8 +153,8 @@
 			in(c.fetchLeft * f.storeSlowdown)
 		case c.isLoading:
 			in(c.bootLeft)
-		case c.idle() && w.spec.Keep > 0:
-			in(c.idleSince + w.spec.Keep - f.now)
+		case c.idle() && w.spec.IdleTimeout > 0:
+			in(c.idleSince + w.spec.IdleTimeout - f.now)
 		}
 	}
 	for _, fault := range w.faults {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -68,8 +68,8 @@
 // Addr returns the address of a worker.
 func (s *Server) Addr(worker int) netip.AddrPort { return s.listeners[worker].addr }
 
-// Control returns the address that accepts faults.
-func (s *Server) Control() netip.AddrPort { return s.faultListener.Addr() }
+// FaultAddr returns the address that accepts faults.
+func (s *Server) FaultAddr() netip.AddrPort { return s.faultListener.Addr() }
 
 // injectFault starts a fault. It returns false for an unknown kind or worker.
 func (s *Server) injectFault(fault Fault) bool {
@@ -93,10 +93,10 @@
 	}
 	next := s.fleet.NextEvent()
 	if math.IsInf(next, 1) {
-		s.Loop.Cancel(&s.timer)
+		s.Loop.CancelTimer(&s.timer)
 		return
 	}
-	s.Loop.Start(&s.timer, next-s.Loop.Now())
+	s.Loop.StartTimer(&s.timer, next-s.Loop.Now())
 }
 
 // record writes one line of the records.
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -34,22 +34,22 @@
 
 // WorkerSpec describes one worker.
 type WorkerSpec struct {
-	Name, Zone, Cell string
-	Cores            float64    // requests that run at full speed at the same time
-	Speed            float64    // of one core
-	MemoryMB         float64    // for model copies
-	Queue            int        `json:"Queue"` // requests that may wait; more are rejected as full
-	Loads            int        `json:"Loads"` // concurrent loads
-	OnMiss           MissPolicy `json:"OnMiss"`
-	Keep             float64    `json:"Keep"` // seconds until an idle copy is unloaded; 0 keeps it
-	Disk             bool       `json:"Disk"` // cached images survive a restart and spare the fetch
-	StopsCancelled   bool       `json:"StopsCancelled"`
-	ColdShare        float64    `json:"ColdShare"` // fraction of full capacity right after a start
-	WarmAfter        float64    `json:"WarmAfter"` // seconds of slow start until full capacity
-	Overload         float64    `json:"Overload"`  // multiple of its present capacity that crashes a worker in slow start
-	Fall             float64    `json:"Fall"`      // seconds over which that multiple is measured
-	DedupWindow      float64    // seconds during which duplicates of an idempotency key are dropped
-	DedupScope       DedupScope
+	Name, Zone, Cell  string
+	Cores             float64    // requests that run at full speed at the same time
+	Speed             float64    // of one core
+	MemoryMB          float64    // for model copies
+	QueueLimit        int        `json:"Queue"` // requests that may wait; more are rejected as full
+	ConcurrentLoads   int        `json:"Loads"` // concurrent loads
+	OnMiss            MissPolicy `json:"OnMiss"`
+	IdleTimeout       float64    `json:"Keep"` // seconds until an idle copy is unloaded; 0 keeps it
+	CachesImages      bool       `json:"Disk"` // cached images survive a restart and spare the fetch
+	StopsCancelled    bool       `json:"StopsCancelled"`
+	SlowStartCapacity float64    `json:"ColdShare"` // fraction of full capacity right after a start
+	SlowStartDuration float64    `json:"WarmAfter"` // seconds of slow start until full capacity
+	OverloadFactor    float64    `json:"Overload"`  // multiple of its present capacity that crashes a worker in slow start
+	OverloadWindow    float64    `json:"Fall"`      // seconds over which that multiple is measured
+	DedupWindow       float64    // seconds during which duplicates of an idempotency key are dropped
+	DedupScope        DedupScope
 }
 
 // ModelSpec describes models by name or pattern; the first spec that matches a name applies.
@@ -57,10 +57,10 @@
 	Name          string
 	Group         string
 	MemoryMB      float64
-	Lanes         int        `json:"Lanes"` // requests that one copy runs at the same time
-	Work          float64    `json:"Work"`  // mean seconds of one core for a request
-	Fetch         float64    `json:"Fetch"` // seconds to fetch an image from the store
-	Boot          float64    `json:"Boot"`  // seconds to start a copy on the worker after the fetch
+	Concurrency   int        `json:"Lanes"` // requests that one copy runs at the same time
+	MeanWork      float64    `json:"Work"`  // mean seconds of one core for a request
+	FetchTime     float64    `json:"Fetch"` // seconds to fetch an image from the store
+	BootTime      float64    `json:"Boot"`  // seconds to start a copy on the worker after the fetch
 	Deduped       bool       `json:"Deduped"`
 	DedupWindow   float64    `json:"Window"` // seconds; 0 uses the worker's
 	DedupScope    DedupScope `json:"Scope"`  // empty uses the worker's
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -25,7 +25,7 @@
 func (c *modelCopies) idle() bool { return c.ready > c.busy && len(c.waiting) == 0 }
 
 // hasLane reports whether another request can run.
-func (c *modelCopies) hasLane() bool { return c.busy < c.ready*max(1, c.spec.Lanes) }
+func (c *modelCopies) hasLane() bool { return c.busy < c.ready*max(1, c.spec.Concurrency) }
 
 // worker is the state of one emulated worker. It has a time of its own, which Fleet brings up to date when something
 // happens to the worker.
@@ -86,8 +86,8 @@
 // capacity is the fraction of its full capacity that a worker has at a time.
 func (w *worker) capacity(now float64) float64 {
 	age := now - w.startAt
-	if age < w.spec.WarmAfter {
-		return w.spec.ColdShare + (1-w.spec.ColdShare)*age/w.spec.WarmAfter
+	if age < w.spec.SlowStartDuration {
+		return w.spec.SlowStartCapacity + (1-w.spec.SlowStartCapacity)*age/w.spec.SlowStartDuration
 	}
 	return 1
 }
@@ -132,12 +132,12 @@
 
 // recordWork counts work sent to a worker in slow start; too much of it within the overload window crashes the worker.
 func (f *Fleet) recordWork(w *worker, work float64) {
-	if f.now-w.startAt >= w.spec.WarmAfter || w.spec.Overload <= 0 {
+	if f.now-w.startAt >= w.spec.SlowStartDuration || w.spec.OverloadFactor <= 0 {
 		w.recentWork = w.recentWork[:0]
 		return
 	}
 	w.recentWork = append(w.recentWork, workSample{f.now, work})
-	for len(w.recentWork) > 0 && w.recentWork[0].at < f.now-w.spec.Fall {
+	for len(w.recentWork) > 0 && w.recentWork[0].at < f.now-w.spec.OverloadWindow {
 		w.recentWork = w.recentWork[1:]
 	}
 	if len(w.recentWork) < minOverloadSamples {
@@ -147,7 +147,7 @@
 	for _, s := range w.recentWork {
 		sum += s.work
 	}
-	limit := w.spec.Overload * w.capacity(f.now) * w.spec.Cores * w.spec.Speed * w.spec.Fall
+	limit := w.spec.OverloadFactor * w.capacity(f.now) * w.spec.Cores * w.spec.Speed * w.spec.OverloadWindow
 	f.PeakOverload = math.Max(f.PeakOverload, sum/limit)
 	if sum > limit {
 		w.overloaded = true
--- a/internal/emulator/worker_service.go
+++ b/internal/emulator/worker_service.go
@@ -42,8 +42,8 @@
 // HeadReceived implements httpconn.Service: bodies are buffered.
 func (wl *workerListener) HeadReceived(*httpconn.Exchange) bool { return false }
 
-// RequestRefused implements httpconn.Service.
-func (wl *workerListener) RequestRefused(*httpcodec.Error) {}
+// RequestRejected implements httpconn.Service.
+func (wl *workerListener) RequestRejected(*httpcodec.Error) {}
 
 // StreamWritable implements httpconn.Service.
 func (wl *workerListener) StreamWritable(*httpconn.Exchange) {}
@@ -82,12 +82,12 @@
 		x.FinishResponse(wl.appendHeaders(x.StartResponse(200)), nil)
 		return
 	default:
-		x.Problem(404, "no such path")
+		x.RespondProblem(404, "no such path")
 		return
 	}
 	if wl.emulator.fleet.HasFault(wl.worker, FaultSlowConnect) {
 		delay := &eventloop.Timer{Fire: func() { wl.submit(p) }}
-		wl.emulator.Loop.Start(delay, slowConnectDelay)
+		wl.emulator.Loop.StartTimer(delay, slowConnectDelay)
 		return
 	}
 	wl.submit(p)
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -49,11 +49,11 @@
 // Peer returns the address of the other side.
 func (c *Conn) Peer() netip.AddrPort { return c.peer }
 
-// Open reports whether the connection is established or being established, and not being closed.
-func (c *Conn) Open() bool { return c.fd >= 0 && !c.lingering }
+// IsOpen reports whether the connection is established or being established, and not being closed.
+func (c *Conn) IsOpen() bool { return c.fd >= 0 && !c.lingering }
 
-// Established reports whether the connection is established.
-func (c *Conn) Established() bool { return c.established }
+// IsEstablished reports whether the connection is established.
+func (c *Conn) IsEstablished() bool { return c.established }
 
 // Close ends the connection at once. Bytes that the kernel has not accepted are lost. Closed is not called.
 func (c *Conn) Close() {
@@ -86,7 +86,7 @@
 	c.lingering = true
 	c.loop.lingeringCount++
 	c.timer.Fire = c.Close
-	c.loop.Start(&c.timer, flushTimeout)
+	c.loop.StartTimer(&c.timer, flushTimeout)
 	c.setInterest(c.interest | unix.EPOLLIN)
 	c.scheduleWrite()
 	c.loop.recycleBuffer(c.unconsumed)
@@ -109,7 +109,7 @@
 // release returns what the connection held to the loop, once, and lets paused listeners accept again.
 func (c *Conn) release() {
 	l := c.loop
-	l.Cancel(&c.timer)
+	l.CancelTimer(&c.timer)
 	if c.handler == nil {
 		return
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	c.established = true
-	c.loop.Cancel(&c.timer)
+	c.loop.CancelTimer(&c.timer)
 	c.setInterest(unix.EPOLLIN | unix.EPOLLRDHUP)
 	c.handler.Connected(c)
 	if c.fd >= 0 && len(c.outgoing) > 0 {
--- a/internal/eventloop/conn_backoff.go
+++ b/internal/eventloop/conn_backoff.go
@@ -4,9 +4,9 @@
 
 import "golang.org/x/sys/unix"
 
-// ReadPauses returns how often reading was suspended for a moment because a read or write of the connection failed for
+// BackoffCount returns how often reading was suspended for a moment because a read or write of the connection failed for
 // lack of local resources. What did not arrive during such a pause is not the peer's fault.
-func (c *Conn) ReadPauses() uint32 { return c.readPauses }
+func (c *Conn) BackoffCount() uint32 { return c.readPauses }
 
 // backOff suspends reads and writes of a connection for localFailureBackoff, as the kernel has no memory for them.
 func (c *Conn) backOff() {
@@ -21,7 +21,7 @@
 	c.setInterest(c.interest &^ unix.EPOLLIN)
 	l.backingOff = append(l.backingOff, c)
 	if !l.backoffTimer.Pending() {
-		l.Start(&l.backoffTimer, localFailureBackoff)
+		l.StartTimer(&l.backoffTimer, localFailureBackoff)
 	}
 }
 
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -50,7 +50,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	onLoop(func() {
-		if closed.Load() != 1 || conn.Open() {
+		if closed.Load() != 1 || conn.IsOpen() {
 			t.Errorf("Closed called %d times", closed.Load())
 		}
 	})
@@ -124,8 +124,8 @@
 		t.Errorf("%d bytes of %d, %v", len(got), len(response), err)
 	}
 	onLoop(func() {
-		if l.Lingering() > 0 {
-			t.Errorf("%d connections are lingering", l.Lingering())
+		if l.LingeringCount() > 0 {
+			t.Errorf("%d connections are lingering", l.LingeringCount())
 		}
 	})
 }
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -115,7 +115,7 @@
 			return
 		}
 		unix.Shutdown(c.fd, unix.SHUT_WR)
-		c.loop.Start(&c.timer, lingerTimeout)
+		c.loop.StartTimer(&c.timer, lingerTimeout)
 	}
 	notify := c.writeBlocked || c.notifyFlushed
 	c.notifyFlushed = false
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -36,7 +36,7 @@
 	if err == nil {
 		c.fd = fd
 		l.register(fd, c.interest, registration{conn: c})
-		l.Start(&c.timer, c.connectDeadline-l.now)
+		l.StartTimer(&c.timer, c.connectDeadline-l.now)
 		return
 	}
 	if err == unix.EMFILE && l.OnDescriptorShortage != nil {
@@ -44,7 +44,7 @@
 	}
 	if isRetryable(err) && l.now+localFailureBackoff < c.connectDeadline {
 		l.Stats.LocalFailures.Add(1)
-		l.Start(&c.timer, localFailureBackoff)
+		l.StartTimer(&c.timer, localFailureBackoff)
 		return
 	}
 	if isLocalError(err) {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -16,7 +16,7 @@
 	// Room is called before each connection is accepted, and reports whether there is capacity for one more; if not,
 	// connections stay in the kernel's queue. evict is true if a connection is known to be waiting: the owner may then
 	// close others to free capacity. Room may be nil.
-	Room func(evict bool) bool
+	AdmitConnection func(evict bool) bool
 
 	loop           *Loop
 	fd             int // -1 after Close
@@ -71,13 +71,13 @@
 	}
 }
 
-// Draining reports whether Drain has been called and connections may still be waiting to be accepted.
-func (ln *Listener) Draining() bool { return ln.draining && ln.fd >= 0 }
+// IsDraining reports whether Drain has been called and connections may still be waiting to be accepted.
+func (ln *Listener) IsDraining() bool { return ln.draining && ln.fd >= 0 }
 
 // Close stops accepting at once. Accepted connections are not affected.
 func (ln *Listener) Close() {
 	if ln.fd >= 0 {
-		ln.loop.Cancel(&ln.timer)
+		ln.loop.CancelTimer(&ln.timer)
 		ln.loop.unregister(ln.fd)
 		ln.fd = -1
 	}
@@ -100,7 +100,7 @@
 
 func (ln *Listener) pauseFor(seconds float64) {
 	ln.pause()
-	ln.loop.Start(&ln.timer, seconds)
+	ln.loop.StartTimer(&ln.timer, seconds)
 }
 
 // backOff pauses accepting for twice as long as the last time, within bounds, as local resources are short.
@@ -181,12 +181,12 @@
 	if l.maxConns > 0 && l.connCount >= l.maxConns {
 		ln.pause() // until Conn.release resumes it
 		if ln.draining {
-			l.Start(&ln.timer, minAcceptBackoff)
+			l.StartTimer(&ln.timer, minAcceptBackoff)
 		}
 		return false
 	}
 	evict := knownWaiting || ln.draining
-	if ln.Room != nil && !ln.Room(evict) {
+	if ln.AdmitConnection != nil && !ln.AdmitConnection(evict) {
 		ln.mayHaveWaiting = true
 		if evict {
 			ln.pauseFor(capacityBackoff)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -57,8 +57,8 @@
 	Turns               atomic.Int64 // turns completed
 	LocalFailures       atomic.Int64 // other system calls that failed for lack of local resources
 	Stalls              atomic.Int64 // polls that came more than arrivalSlack after the previous one
-	LateNs              atomic.Int64 // by how much the latest due timer fired late, ns
-	TurnNs              atomic.Int64 // longest turn so far, ns
+	TimerLatenessNs     atomic.Int64 // by how much the latest due timer fired late, ns
+	LongestTurnNs       atomic.Int64 // longest turn so far, ns
 }
 
 // Loop is an event loop. Create it with New and run it with Run on a goroutine of its own.
@@ -162,9 +162,9 @@
 	return float64(kernel.WallClock().UnixNano()) / 1e9
 }
 
-// Lingering returns how many connections are being ended by CloseFlushed. Their handlers no longer own them, and each
+// LingeringCount returns how many connections are being ended by CloseFlushed. Their handlers no longer own them, and each
 // still holds a descriptor.
-func (l *Loop) Lingering() int { return l.lingeringCount }
+func (l *Loop) LingeringCount() int { return l.lingeringCount }
 
 // Close releases the descriptors of a loop that has never run. Run does so by itself.
 func (l *Loop) Close() {
--- a/internal/eventloop/registration.go
+++ b/internal/eventloop/registration.go
@@ -71,7 +71,7 @@
 		l.refusedRegistrations = append(l.refusedRegistrations, registrationRef{fd, entry.generation})
 	}
 	if !l.registrationTimer.Pending() {
-		l.Start(&l.registrationTimer, localFailureBackoff)
+		l.StartTimer(&l.registrationTimer, localFailureBackoff)
 	}
 }
 
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -17,11 +17,11 @@
 // Pending reports whether the timer has been started and has neither fired nor been cancelled.
 func (t *Timer) Pending() bool { return t.position > 0 }
 
-// Start makes the timer fire after the given number of seconds. A pending timer is moved.
-func (l *Loop) Start(t *Timer, after float64) { l.timers.start(t, l.now+math.Max(0, after)) }
+// StartTimer makes the timer fire after the given number of seconds. A pending timer is moved.
+func (l *Loop) StartTimer(t *Timer, after float64) { l.timers.start(t, l.now+math.Max(0, after)) }
 
-// Cancel stops a timer; it has no effect on one that is not pending.
-func (l *Loop) Cancel(t *Timer) { l.timers.stop(t) }
+// CancelTimer stops a timer; it has no effect on one that is not pending.
+func (l *Loop) CancelTimer(t *Timer) { l.timers.stop(t) }
 
 // runTimers fires the timers that are due as of the latest poll.
 func (l *Loop) runTimers() {
@@ -30,7 +30,7 @@
 		if t == nil {
 			break
 		}
-		l.Stats.LateNs.Store(int64((l.now - t.at) * 1e9))
+		l.Stats.TimerLatenessNs.Store(int64((l.now - t.at) * 1e9))
 		t.Fire()
 	}
 }
--- a/internal/eventloop/turn.go
+++ b/internal/eventloop/turn.go
@@ -21,8 +21,8 @@
 		started := l.now
 		l.runTurn()
 		took := int64((l.Clock() - started) * 1e9)
-		if took > l.Stats.TurnNs.Load() {
-			l.Stats.TurnNs.Store(took)
+		if took > l.Stats.LongestTurnNs.Load() {
+			l.Stats.LongestTurnNs.Store(took)
 		}
 		l.Stats.Turns.Add(1)
 	}
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -34,11 +34,11 @@
 		return
 	}
 	if timeout > 0 {
-		g.Loop.Start(&a.timeoutTimer, timeout)
+		g.Loop.StartTimer(&a.timeoutTimer, timeout)
 	}
 	a.SendDeadline = dedupDeadline(facts)
 	if !math.IsInf(a.SendDeadline, 1) {
-		g.Loop.Start(&a.dedupTimer, a.SendDeadline-a.createdAt)
+		g.Loop.StartTimer(&a.dedupTimer, a.SendDeadline-a.createdAt)
 	}
 	w.MarkSent()
 	w.transport.SendAttempt(a)
@@ -129,16 +129,16 @@
 // SendPeerMessage drops the message: this host does not carry gossip.
 func (g *Gateway) SendPeerMessage(control.PeerID, []byte) { g.Metrics.countGuard("note_dropped") }
 
-// SubscribeWorkerList starts or ends the watch events of the endpoint list. The first event after a start is a snapshot.
-func (g *Gateway) SubscribeWorkerList(on bool) {
+// SubscribeEndpointList starts or ends the watch events of the endpoint list. The first event after a start is a snapshot.
+func (g *Gateway) SubscribeEndpointList(on bool) {
 	wasSubscribed := g.listSubscribed
 	g.listSubscribed = on
 	if on && !wasSubscribed {
-		g.FetchWorkerList()
+		g.FetchEndpointList()
 	}
 }
 
-// FetchWorkerList delivers a snapshot of the endpoint list in this turn of the loop.
-func (g *Gateway) FetchWorkerList() {
+// FetchEndpointList delivers a snapshot of the endpoint list in this turn of the loop.
+func (g *Gateway) FetchEndpointList() {
 	g.Loop.Defer(func() { g.sendWorkerList(control.ListSnapshot) })
 }
--- a/internal/gateway/allocation_test.go
+++ b/internal/gateway/allocation_test.go
@@ -127,4 +127,4 @@
 }
 func (echoService) ClientGone(*httpconn.Exchange)     {}
 func (echoService) StreamWritable(*httpconn.Exchange) {}
-func (echoService) RequestRefused(*httpcodec.Error)   {}
+func (echoService) RequestRejected(*httpcodec.Error)  {}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -62,8 +62,8 @@
 func (g *Gateway) startStreaming(a *Attempt) {
 	r := a.Request
 	r.streamingAttempt = a
-	g.Loop.Cancel(&r.deadlineTimer)
-	g.Loop.Cancel(&a.timeoutTimer)
+	g.Loop.CancelTimer(&r.deadlineTimer)
+	g.Loop.CancelTimer(&a.timeoutTimer)
 	for _, other := range r.attempts[:r.attemptCount] {
 		if other != a {
 			g.finishAttempt(other, control.Cancelled)
@@ -84,8 +84,8 @@
 	if result == control.TimedOut || result == control.Cancelled || result == control.NotSent {
 		result = a.withdraw(result)
 	}
-	g.Loop.Cancel(&a.timeoutTimer)
-	g.Loop.Cancel(&a.dedupTimer)
+	g.Loop.CancelTimer(&a.timeoutTimer)
+	g.Loop.CancelTimer(&a.dedupTimer)
 	r := a.Request
 	duration := g.Loop.Now() - a.createdAt
 	a.result = result
--- a/internal/gateway/control_call.go
+++ b/internal/gateway/control_call.go
@@ -34,7 +34,7 @@
 }
 
 func (g *Gateway) sendControlCall(call *ControlCall, timeout float64) {
-	g.Loop.Start(&call.timeoutTimer, timeout)
+	g.Loop.StartTimer(&call.timeoutTimer, timeout)
 	call.Worker.transport.SendControlCall(call)
 }
 
@@ -47,7 +47,7 @@
 	if result == control.TimedOut || result == control.NotSent {
 		call.Worker.transport.CancelControlCall(call)
 	}
-	g.Loop.Cancel(&call.timeoutTimer)
+	g.Loop.CancelTimer(&call.timeoutTimer)
 	call.Worker.callsInFlight--
 	if call.Model != nil {
 		call.Model.inFlight--
--- a/internal/gateway/eviction.go
+++ b/internal/gateway/eviction.go
@@ -13,7 +13,7 @@
 
 func (g *Gateway) evictPeriodically() {
 	g.EvictIdle(g.Loop.Now() - evictAfter)
-	g.Loop.Start(&g.evictionTimer, evictionInterval)
+	g.Loop.StartTimer(&g.evictionTimer, evictionInterval)
 }
 
 // EvictIdle evicts the models that were last requested before a time, and the workers that have been gone since before it
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 		cfg:       cfg,
 		log:       log,
 		settings:  options.Settings,
-		discovery: control.ParseDiscoveryMode(cfg.Roster.Discovery),
+		discovery: control.ParseDiscoveryMode(cfg.Discovery.Mode),
 		// Random rather than the time: a stepped wall clock can show the same time at two starts.
 		requestIDPrefix: cfg.Name + "-" + strconv.FormatUint(rand.Uint64(), 36) + "-",
 		tenants:         map[string]int{},
@@ -148,7 +148,7 @@
 		g.groups = append(g.groups, &group{
 			Group:      c,
 			effect:     control.ParseEffect(c.Effect),
-			dedupScope: control.ParseDedupScope(c.Scope),
+			dedupScope: control.ParseDedupScope(c.DedupScope),
 			index:      control.GroupID(i),
 			metrics:    g.Metrics.forGroup(c.Name),
 		})
@@ -176,7 +176,7 @@
 	} else {
 		g.sendWorkerList(control.ListCached)
 	}
-	g.Loop.Start(&g.evictionTimer, evictionInterval)
+	g.Loop.StartTimer(&g.evictionTimer, evictionInterval)
 }
 
 // RandomFloat returns a random number in [0, 1), for jitter.
--- a/internal/gateway/http_clients.go
+++ b/internal/gateway/http_clients.go
@@ -26,7 +26,7 @@
 
 // NewHTTP returns a gateway that listens for HTTP/1.1 at the configured address. It serves once the loop runs.
 func NewHTTP(loop *eventloop.Loop, cfg *config.Config, log zerolog.Logger, newModule NewModule) (*Gateway, error) {
-	workers, err := MembershipEntries(cfg.Workers)
+	workers, err := WorkerEntries(cfg.Workers)
 	if err != nil {
 		return nil, err
 	}
@@ -69,10 +69,10 @@
 			Headers: maxRequestHeaders,
 			Body:    limits.Body.Bytes,
 		},
-		IdleTimeout: limits.IdleTimeout.Seconds,
-		HeadTimeout: limits.HeadTimeout.Seconds,
-		BodyTimeout: limits.BodyTimeout.Seconds,
-		Budget:      &t.budget,
+		IdleTimeout:  limits.IdleTimeout.Seconds,
+		HeadTimeout:  limits.HeadTimeout.Seconds,
+		BodyTimeout:  limits.BodyTimeout.Seconds,
+		MemoryBudget: &t.budget,
 	})
 	return t, err
 }
@@ -125,7 +125,7 @@
 	case err != nil:
 		return t.reject(exchange, "model_id", 409, "this model cannot be taken: "+err.Error())
 	case !g.Serving():
-		exchange.CloseAfter()
+		exchange.CloseAfterResponse()
 		return t.reject(exchange, "stopping", 503, "the dispatcher is stopping")
 	case g.inFlight >= g.cfg.Limits.Requests:
 		return t.reject(exchange, "too_many", 503, "too many inferences are in hand")
@@ -160,15 +160,15 @@
 
 func (t *httpClientTransport) writeHealth(exchange *httpconn.Exchange, healthy bool) bool {
 	if !healthy {
-		exchange.Problem(503, "not ready")
+		exchange.RespondProblem(503, "not ready")
 		return true
 	}
 	exchange.FinishResponse(exchange.StartResponse(200), nil)
 	return true
 }
 
-// RequestRefused implements httpconn.Service.
-func (t *httpClientTransport) RequestRefused(e *httpcodec.Error) {
+// RequestRejected implements httpconn.Service.
+func (t *httpClientTransport) RequestRejected(e *httpcodec.Error) {
 	t.gateway.Metrics.countRejection("http_" + strconv.Itoa(e.Status))
 }
 
--- a/internal/gateway/http_test.go
+++ b/internal/gateway/http_test.go
@@ -45,7 +45,7 @@
 	})
 	h.on(func() {
 		s := h.gateway.Status()
-		if s.Workers[0].Report <= 0 || s.InFlight != 0 || s.BufferedBytes != 0 || len(s.Workers[0].Warm) != 1 {
+		if s.Workers[0].ReportedInFlight <= 0 || s.InFlight != 0 || s.BufferedBytes != 0 || len(s.Workers[0].WarmModels) != 1 {
 			t.Errorf("%+v", s)
 		}
 	})
--- a/internal/gateway/http_workers.go
+++ b/internal/gateway/http_workers.go
@@ -22,7 +22,7 @@
 	limits := g.cfg.Limits
 	pool := httpconn.NewPool(g.Loop, w.Addr, httpconn.PoolOptions{
 		MaxConnections: limits.WorkerConnections,
-		MaxIdle:        limits.WorkerIdle,
+		MaxIdle:        limits.MaxIdleWorkerConnections,
 		IdleTimeout:    limits.WorkerIdleTimeout.Seconds,
 		ConnectTimeout: limits.ConnectTimeout.Seconds,
 		OnConnectionLost: func() {
@@ -164,9 +164,9 @@
 func (h *httpAttempt) ResponseHead(head *httpcodec.Head) {
 	a := h.attempt
 	g := a.gateway
-	h.metadata = classifyResponse(head, g.cfg.Report)
+	h.metadata = classifyResponse(head, g.cfg.LoadReportFields)
 	h.status = head.Status
-	h.contentLength = head.Length
+	h.contentLength = head.ContentLength
 	a.Response = h.metadata.WorkerResponse
 	g.observeStart(a.Worker, h.metadata.startEpoch)
 	if h.metadata.Result != control.Succeeded {
@@ -181,7 +181,7 @@
 		return
 	}
 	h.headers = appendReturnedHeaders(h.headers, head)
-	if head.Length > g.cfg.Limits.Answer.Bytes {
+	if head.ContentLength > g.cfg.Limits.Response.Bytes {
 		h.startStreaming()
 	}
 }
@@ -212,7 +212,7 @@
 		}
 	default:
 		a.ResponseBody = append(a.ResponseBody, data...)
-		if int64(len(a.ResponseBody)) > a.gateway.cfg.Limits.Answer.Bytes {
+		if int64(len(a.ResponseBody)) > a.gateway.cfg.Limits.Response.Bytes {
 			h.startStreaming()
 		}
 	}
@@ -304,7 +304,7 @@
 // ResponseHead implements httpconn.ResponseHandler.
 func (h *httpControlCall) ResponseHead(head *httpcodec.Head) {
 	c := h.controlCall
-	h.metadata = classifyResponse(head, c.gateway.cfg.Report)
+	h.metadata = classifyResponse(head, c.gateway.cfg.LoadReportFields)
 	c.Response = h.metadata.WorkerResponse
 	c.gateway.observeStart(c.Worker, h.metadata.startEpoch)
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -103,8 +103,8 @@
 	r.gauge("mastchute_local_failures_total", "System calls that failed for want of the machine's means; they are tried again.", func() float64 { return float64(stats.LocalFailures.Load()) })
 	r.gauge("mastchute_standstills_total", "Times the process stood still for over 0.1 s.", func() float64 { return float64(stats.Stalls.Load()) })
 	r.gauge("mastchute_loop_turns_total", "Turns of the loop.", func() float64 { return float64(stats.Turns.Load()) })
-	r.gauge("mastchute_loop_late_seconds", "How late the latest timer fired.", func() float64 { return float64(stats.LateNs.Load()) / 1e9 })
-	r.gauge("mastchute_loop_longest_turn_seconds", "Longest turn of the loop so far.", func() float64 { return float64(stats.TurnNs.Load()) / 1e9 })
+	r.gauge("mastchute_loop_late_seconds", "How late the latest timer fired.", func() float64 { return float64(stats.TimerLatenessNs.Load()) / 1e9 })
+	r.gauge("mastchute_loop_longest_turn_seconds", "Longest turn of the loop so far.", func() float64 { return float64(stats.LongestTurnNs.Load()) / 1e9 })
 }
 
 // countRejection counts a request rejected before it was accepted.
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -114,7 +114,7 @@
 		for index, group := range g.groups {
 			if group.Name == entry.Group {
 				return g.AddModel(Model{Name: string(name), ID: config.ModelID(string(name)), Group: index,
-					MemoryMB: entry.Memory.MB(), Concurrency: entry.Lanes, LoadSeconds: entry.Load.Seconds})
+					MemoryMB: entry.Memory.MB(), Concurrency: entry.Concurrency, LoadSeconds: entry.LoadTime.Seconds})
 			}
 		}
 		return nil, &newGroupError{entry.Group}
@@ -162,8 +162,8 @@
 	return cached, nil
 }
 
-// SetModels replaces the catalogue. Cached models are resolved again at their next request, and keep their ids.
-func (g *Gateway) SetModels(catalogue []config.Model) {
+// SetCatalogue replaces the catalogue. Cached models are resolved again at their next request, and keep their ids.
+func (g *Gateway) SetCatalogue(catalogue []config.Model) {
 	g.cfg.Models = catalogue
 	clear(g.models.byName)
 }
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("beyond the limit: %v", err)
 		}
 		first.inFlight--
-		g.SetModels([]config.Model{{Name: "read-*", Group: "added-by-a-reload"}})
+		g.SetCatalogue([]config.Model{{Name: "read-*", Group: "added-by-a-reload"}})
 		var newGroup *newGroupError
 		if _, err := g.resolveModel([]byte("read-1")); !errors.As(err, &newGroup) {
 			t.Errorf("a group that came with a reload: %v", err)
--- a/internal/gateway/module.go
+++ b/internal/gateway/module.go
@@ -124,7 +124,7 @@
 		t = &eventloop.Timer{Fire: func() { g.deliverTimer(id) }}
 		g.moduleTimers[id] = t
 	}
-	g.Loop.Start(t, after)
+	g.Loop.StartTimer(t, after)
 }
 
 // Log logs a message of the module. It implements control.Actions.
--- a/internal/gateway/module_test.go
+++ b/internal/gateway/module_test.go
@@ -17,7 +17,7 @@
 
 func (m *faultyModule) RequestArrived(request control.Request) { m.requestID = request.ID }
 
-func (m *faultyModule) UpdateWorkers(_ control.WorkerListKind, _ uint32, workers []control.WorkerInfo) {
+func (m *faultyModule) UpdateWorkers(_ control.EndpointListKind, _ uint32, workers []control.WorkerInfo) {
 	if len(workers) > 0 {
 		m.workerID = workers[0].ID
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -46,8 +46,8 @@
 // Tenant returns the index of the request's tenant in the settings, -1 if it has none.
 func (r *Request) Tenant() int { return r.tenant }
 
-// SetTrace sets the client's id for the request, which logs and dumps show.
-func (r *Request) SetTrace(id [16]byte) { r.traceID = id }
+// SetTraceID sets the client's id for the request, which logs and dumps show.
+func (r *Request) SetTraceID(id [16]byte) { r.traceID = id }
 
 // InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int { return g.inFlight }
@@ -78,7 +78,7 @@
 
 	timeLeft := r.deadline - g.Loop.Now()
 	r.group.metrics.accepted.Inc()
-	g.Loop.Start(&r.deadlineTimer, timeLeft)
+	g.Loop.StartTimer(&r.deadlineTimer, timeLeft)
 	g.RecordEvent("request_accepted", r.group.Name, r, nil, timeLeft)
 	g.deliverRequest(&details)
 	return r
@@ -146,7 +146,7 @@
 		r.attempts[i] = nil
 		g.recycleAttempt(a)
 	}
-	g.Loop.Cancel(&r.deadlineTimer)
+	g.Loop.CancelTimer(&r.deadlineTimer)
 	r.inUse = false
 	r.model.inFlight--
 	r.model = nil
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -114,7 +114,7 @@
 				if a.Index > 0 && !a.finished && state.call.SentAt == 0 {
 					expired++
 					state.call.SendDeadline = h.gateway.Loop.Now() - 0.001
-					r.group.Window = config.S(0)
+					r.group.DedupWindow = config.Seconds(0)
 				}
 			}
 		}
@@ -147,7 +147,7 @@
 			{createdAt: 4.5},
 		},
 	}
-	r.group.Window = config.S(2)
+	r.group.DedupWindow = config.Seconds(2)
 	if until := dedupDeadline(r.attemptFacts(nil, 3)); until != 5 {
 		t.Errorf("it ends at %g", until)
 	}
--- a/internal/gateway/rule_checks.go
+++ b/internal/gateway/rule_checks.go
@@ -21,7 +21,7 @@
 		}
 		if !facts.MayHaveRun {
 			facts.MayHaveRun = true
-			facts.DedupUntil = a.createdAt + r.group.Window.Seconds
+			facts.DedupUntil = a.createdAt + r.group.DedupWindow.Seconds
 			facts.InDedupScope = true
 		}
 		facts.InDedupScope = facts.InDedupScope && r.group.dedupScopeCovers(a.Worker, w)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -55,7 +55,7 @@
 			return
 		}
 	}
-	g.Loop.Start(&g.stopTimer, shutdownPollInterval)
+	g.Loop.StartTimer(&g.stopTimer, shutdownPollInterval)
 }
 
 func (g *Gateway) graceExpired() {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -26,22 +26,22 @@
 
 // WorkerStatus is a worker of the endpoint list.
 type WorkerStatus struct {
-	Name        string   `json:"name"`
-	Address     string   `json:"address"`
-	State       string   `json:"state"`
-	Source      string   `json:"from"`
-	Version     uint32   `json:"version"`
-	ChangedAt   float64  `json:"heard_s"`
-	Announced   bool     `json:"announced"`       // the control module has been notified of it
-	Age         *float64 `json:"age_s,omitempty"` // seconds since its start, if known
-	Connections int      `json:"connections"`
-	Queued      int      `json:"queued"` // attempts and control calls that wait for a connection
-	InFlight    int      `json:"in_flight"`
-	QueuedWork  float64  `json:"work_s"`
-	FailureRate float64  `json:"failure_rate"`
-	Ejected     bool     `json:"ejected"`
-	Report      float64  `json:"reported_inflight"`
-	Warm        []string `json:"warm"`
+	Name             string   `json:"name"`
+	Address          string   `json:"address"`
+	State            string   `json:"state"`
+	Source           string   `json:"from"`
+	Version          uint32   `json:"version"`
+	ChangedAt        float64  `json:"heard_s"`
+	Announced        bool     `json:"announced"`       // the control module has been notified of it
+	Age              *float64 `json:"age_s,omitempty"` // seconds since its start, if known
+	Connections      int      `json:"connections"`
+	Queued           int      `json:"queued"` // attempts and control calls that wait for a connection
+	InFlight         int      `json:"in_flight"`
+	QueuedWork       float64  `json:"work_s"`
+	FailureRate      float64  `json:"failure_rate"`
+	Ejected          bool     `json:"ejected"`
+	ReportedInFlight float64  `json:"reported_inflight"`
+	WarmModels       []string `json:"warm"`
 
 	// Former keys, with the same values; they go in the next version.
 	DeprecatedTold  bool    `json:"told"`  // Deprecated: announced
@@ -118,21 +118,21 @@
 
 func (g *Gateway) workerStatus(w *Worker, view control.WorkerView) WorkerStatus {
 	s := WorkerStatus{
-		Name:        w.Name,
-		Address:     w.Addr.String(),
-		State:       w.StateName(),
-		Source:      w.Source.String(),
-		Version:     w.Version,
-		ChangedAt:   w.ChangedAt,
-		Announced:   w.announced,
-		Connections: w.transport.ConnectionCount(),
-		Queued:      w.transport.QueuedCount(),
-		InFlight:    view.InFlight,
-		QueuedWork:  view.QueuedWork,
-		FailureRate: view.FailureRate,
-		Ejected:     view.Ejected,
-		Report:      view.ReportedInFlight,
-		Warm:        []string{},
+		Name:             w.Name,
+		Address:          w.Addr.String(),
+		State:            w.StateName(),
+		Source:           w.Source.String(),
+		Version:          w.Version,
+		ChangedAt:        w.ChangedAt,
+		Announced:        w.announced,
+		Connections:      w.transport.ConnectionCount(),
+		Queued:           w.transport.QueuedCount(),
+		InFlight:         view.InFlight,
+		QueuedWork:       view.QueuedWork,
+		FailureRate:      view.FailureRate,
+		Ejected:          view.Ejected,
+		ReportedInFlight: view.ReportedInFlight,
+		WarmModels:       []string{},
 	}
 	s.DeprecatedTold = s.Announced
 	s.DeprecatedOut = s.InFlight
@@ -145,7 +145,7 @@
 	for _, id := range view.LoadedModels {
 		model := g.models.byID[id]
 		if model != nil {
-			s.Warm = append(s.Warm, model.Name)
+			s.WarmModels = append(s.WarmModels, model.Name)
 		}
 	}
 	return s
--- a/internal/gateway/worker_response.go
+++ b/internal/gateway/worker_response.go
@@ -93,7 +93,7 @@
 func (m *responseMetadata) readModelState(value []byte) {
 	switch string(value) {
 	case "warm":
-		m.ModelState = control.ModelWarm
+		m.ModelState = control.ModelLoaded
 	case "began":
 		m.ModelState = control.LoadStarted
 	case "awaited":
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -12,8 +12,8 @@
 // This file applies the endpoint list, whose sources package membership merges: each worker gets a transport, is probed for
 // its start time, and is announced to the control module.
 
-// MembershipEntries returns configured workers as entries of the endpoint list.
-func MembershipEntries(workers []config.Worker) ([]membership.Entry, error) {
+// WorkerEntries returns configured workers as entries of the endpoint list.
+func WorkerEntries(workers []config.Worker) ([]membership.Entry, error) {
 	var entries []membership.Entry
 	for _, w := range workers {
 		addr, err := netip.ParseAddrPort(w.Address)
@@ -59,8 +59,8 @@
 	return err
 }
 
-// WorkerListFailed records that a source of the endpoint list could not be read. The previous list stays in force.
-func (g *Gateway) WorkerListFailed(err error) {
+// EndpointListFailed records that a source of the endpoint list could not be read. The previous list stays in force.
+func (g *Gateway) EndpointListFailed(err error) {
 	g.log.Warn().Err(err).Msg("list of workers not read; the last one stays in force")
 	g.Metrics.listFailures.Inc()
 	g.beginBatch()
@@ -69,8 +69,8 @@
 	}
 }
 
-// WorkerEntrySkipped records that an entry of a source could not be read and was skipped. The other entries are in force.
-func (g *Gateway) WorkerEntrySkipped(err error) {
+// EndpointEntrySkipped records that an entry of a source could not be read and was skipped. The other entries are in force.
+func (g *Gateway) EndpointEntrySkipped(err error) {
 	g.log.Warn().Err(err).Msg("worker list entry skipped")
 	g.Metrics.listFailures.Inc()
 }
@@ -141,7 +141,7 @@
 		if w.probeRetryTimer.Fire == nil {
 			w.probeRetryTimer.Fire = func() { g.sendStartupProbe(w) }
 		}
-		g.Loop.Start(&w.probeRetryTimer, retryAfter)
+		g.Loop.StartTimer(&w.probeRetryTimer, retryAfter)
 	}
 	wasWithheld := g.Members.FinishStartupProbe(w.Worker)
 	if !w.announced || wasWithheld {
@@ -184,7 +184,7 @@
 }
 
 // sendWorkerList passes the complete list of announced workers to the control module.
-func (g *Gateway) sendWorkerList(kind control.WorkerListKind) {
+func (g *Gateway) sendWorkerList(kind control.EndpointListKind) {
 	var infos []control.WorkerInfo
 	for _, member := range g.Members.All() {
 		w := g.workers[member.ID]
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -43,7 +43,7 @@
 	h.expect("read-1", 200, "returned")
 	h.on(func() { // the models of the process before are forgotten, the one that the new process loaded is not
 		s := h.gateway.Status().Workers[0]
-		if s.Age == nil || *s.Age > 60 || fmt.Sprint(s.Warm) != "[read-1]" {
+		if s.Age == nil || *s.Age > 60 || fmt.Sprint(s.WarmModels) != "[read-1]" {
 			t.Errorf("%+v", s)
 		}
 	})
--- a/internal/httpcodec/body.go
+++ b/internal/httpcodec/body.go
@@ -29,9 +29,9 @@
 	*d = BodyDecoder{limit: limits.Body}
 	if h.Chunked {
 		d.state = bodyChunkSize
-	} else if h.Length > 0 {
+	} else if h.ContentLength > 0 {
 		d.state = bodyLength
-		d.remaining = h.Length
+		d.remaining = h.ContentLength
 	}
 }
 
@@ -40,12 +40,12 @@
 func (d *BodyDecoder) ResetResponse(h *Head, toHEAD bool) {
 	*d = BodyDecoder{limit: unlimited}
 	switch {
-	case toHEAD || h.Status < 200 || h.Status == 204 || h.Status == 304 || h.Length == 0:
+	case toHEAD || h.Status < 200 || h.Status == 204 || h.Status == 304 || h.ContentLength == 0:
 	case h.Chunked:
 		d.state = bodyChunkSize
-	case h.Length > 0:
+	case h.ContentLength > 0:
 		d.state = bodyLength
-		d.remaining = h.Length
+		d.remaining = h.ContentLength
 	default:
 		d.state = bodyUntilClose
 	}
--- a/internal/httpcodec/head.go
+++ b/internal/httpcodec/head.go
@@ -18,12 +18,12 @@
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
-	Minor          int    // minor version of HTTP/1: 0 or 1
+	MinorVersion   int    // minor version of HTTP/1: 0 or 1
 	Headers        []Header
-	Length         int64 // Content-Length, -1 if absent
+	ContentLength  int64 // Content-Length, -1 if absent
 	Chunked        bool  // Transfer-Encoding: chunked
 	Close          bool  // the connection ends after this message
-	Expect         bool  // Expect: 100-continue
+	ExpectContinue bool  // Expect: 100-continue
 }
 
 // Get returns the value of the first header with the given name, which must be in lower case, or nil if there is none.
--- a/internal/httpcodec/headers.go
+++ b/internal/httpcodec/headers.go
@@ -16,10 +16,10 @@
 // parseHeaders parses the header lines into h and interprets those that concern the framing and the connection.
 func (h *Head) parseHeaders(b []byte, limits Limits, isRequest bool) error {
 	h.Headers = h.Headers[:0]
-	h.Length = -1
+	h.ContentLength = -1
 	h.Chunked = false
-	h.Expect = false
-	h.Close = h.Minor == 0
+	h.ExpectContinue = false
+	h.Close = h.MinorVersion == 0
 	var summary headerSummary
 	for len(b) > 0 {
 		var line []byte
@@ -88,7 +88,7 @@
 			if !EqualsLower(header.Value, "100-continue") {
 				return ErrUnsupportedExpectation
 			}
-			h.Expect = h.Minor == 1
+			h.ExpectContinue = h.MinorVersion == 1
 		}
 	}
 	return nil
@@ -98,14 +98,14 @@
 const maxLengthDigits = 18
 
 func (h *Head) interpretContentLength(value []byte) error {
-	if h.Length >= 0 {
+	if h.ContentLength >= 0 {
 		return ErrInvalidContentLength
 	}
 	length, ok := decimal.ParseDigits(value, maxLengthDigits)
 	if !ok {
 		return ErrInvalidContentLength
 	}
-	h.Length = length
+	h.ContentLength = length
 	return nil
 }
 
@@ -121,7 +121,7 @@
 func (h *Head) interpretConnection(value []byte) {
 	if listContainsLower(value, "close") {
 		h.Close = true
-	} else if h.Minor == 0 && listContainsLower(value, "keep-alive") {
+	} else if h.MinorVersion == 0 && listContainsLower(value, "keep-alive") {
 		h.Close = false
 	}
 }
@@ -135,9 +135,9 @@
 // checkFraming checks what only the headers together show.
 func (h *Head) checkFraming(summary headerSummary) error {
 	switch {
-	case h.Chunked && h.Length >= 0:
+	case h.Chunked && h.ContentLength >= 0:
 		return ErrConflictingFraming
-	case h.Chunked && h.Minor == 0:
+	case h.Chunked && h.MinorVersion == 0:
 		return ErrTransferEncodingInHTTP10
 	case h.Chunked && summary.framingTrailers:
 		return ErrFramingTrailer
@@ -149,10 +149,10 @@
 	if err := h.checkFraming(summary); err != nil {
 		return err
 	}
-	if h.Minor == 1 && summary.hosts != 1 {
+	if h.MinorVersion == 1 && summary.hosts != 1 {
 		return ErrInvalidHost
 	}
-	if h.Length > limits.Body {
+	if h.ContentLength > limits.Body {
 		return ErrBodyTooLarge
 	}
 	return nil
--- a/internal/httpcodec/startline.go
+++ b/internal/httpcodec/startline.go
@@ -53,10 +53,10 @@
 func (h *Head) parseVersion(version []byte) error {
 	switch string(version) {
 	case "HTTP/1.1":
-		h.Minor = 1
+		h.MinorVersion = 1
 		return nil
 	case "HTTP/1.0":
-		h.Minor = 0
+		h.MinorVersion = 0
 		return nil
 	}
 	wellFormed := len(version) == 8 && string(version[:5]) == "HTTP/" && isDigit(version[5]) && version[6] == '.' && isDigit(version[7])
--- a/internal/httpconn/call.go
+++ b/internal/httpconn/call.go
@@ -42,7 +42,7 @@
 	// SentAt is the loop's time at which the request was passed to an established connection; 0 before.
 	SentAt float64
 	// HEAD is set for a request with that method, whose response has no body.
-	HEAD bool
+	IsHead bool
 	// SendDeadline is the loop's time after which the request must not be sent any more; 0 means never. The call then ends
 	// with ErrNotSent.
 	SendDeadline float64
--- a/internal/httpconn/client_conn.go
+++ b/internal/httpconn/client_conn.go
@@ -41,7 +41,7 @@
 
 // forget removes the connection from the pool's count.
 func (c *clientConn) forget() {
-	c.pool.Loop.Cancel(&c.timer)
+	c.pool.Loop.CancelTimer(&c.timer)
 	delete(c.pool.conns, c)
 }
 
--- a/internal/httpconn/client_response.go
+++ b/internal/httpconn/client_response.go
@@ -4,7 +4,7 @@
 
 // Received implements eventloop.Handler.
 func (c *clientConn) Received(tcp *eventloop.Conn, input []byte) (used int) {
-	if !tcp.Open() {
+	if !tcp.IsOpen() {
 		return len(input)
 	}
 	if c.call == nil {
@@ -42,7 +42,7 @@
 	}
 	call := c.call
 	c.headReceived = true
-	c.body.ResetResponse(&c.head, call.HEAD)
+	c.body.ResetResponse(&c.head, call.IsHead)
 	call.Handler.ResponseHead(&c.head)
 	return used, c.call == call
 }
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -39,7 +39,7 @@
 
 // reserve reserves memory for the request; it is returned when the exchange is released.
 func (x *Exchange) reserve(n int64) bool {
-	if !x.conn.server.options.Budget.Reserve(n) {
+	if !x.conn.server.options.MemoryBudget.Reserve(n) {
 		return false
 	}
 	x.reservedBytes += n
@@ -58,7 +58,7 @@
 	}
 	if x.closeAfter {
 		b = append(b, "Connection: close\r\n"...)
-	} else if x.Head.Minor == 0 {
+	} else if x.Head.MinorVersion == 0 {
 		b = append(b, "Connection: keep-alive\r\n"...)
 	}
 	return b
@@ -90,7 +90,7 @@
 	switch {
 	case length >= 0:
 		head = httpcodec.AppendLength(head, length)
-	case x.Head.Minor == 1:
+	case x.Head.MinorVersion == 1:
 		x.chunked = true
 		head = append(head, "Transfer-Encoding: chunked\r\n"...)
 	default: // HTTP/1.0: the body ends with the connection
@@ -113,7 +113,7 @@
 			x.conn.tcp.Write(data)
 		}
 	}
-	if x.conn.tcp.UnsentBytes() > x.conn.server.options.StreamAhead {
+	if x.conn.tcp.UnsentBytes() > x.conn.server.options.MaxStreamBuffer {
 		x.streamBlocked = true
 		return false
 	}
@@ -140,14 +140,14 @@
 	c.release()
 }
 
-// CloseAfter requests that the connection be closed after this response.
-func (x *Exchange) CloseAfter() { x.closeAfter = true }
+// CloseAfterResponse requests that the connection be closed after this response.
+func (x *Exchange) CloseAfterResponse() { x.closeAfter = true }
 
 // UnsentBytes returns the number of bytes that wait for the peer.
 func (x *Exchange) UnsentBytes() int { return x.conn.tcp.UnsentBytes() }
 
 func (x *Exchange) startBodyTimer() {
-	x.conn.server.Loop.Start(&x.conn.timer, x.conn.server.options.BodyTimeout)
+	x.conn.server.Loop.StartTimer(&x.conn.timer, x.conn.server.options.BodyTimeout)
 }
 
 // keepScratch keeps a buffer that has grown out of the server's scratch buffer in its place.
@@ -168,7 +168,7 @@
 		c.release()
 		return
 	}
-	c.server.Loop.Start(&c.timer, c.server.options.IdleTimeout)
+	c.server.Loop.StartTimer(&c.timer, c.server.options.IdleTimeout)
 	c.tcp.Resume()
 	if !c.receiving {
 		c.tcp.Redeliver()
--- a/internal/httpconn/helpers_test.go
+++ b/internal/httpconn/helpers_test.go
@@ -21,7 +21,7 @@
 func (s *recordingService) StreamWritable(*Exchange)    {}
 func (s *recordingService) ClientGone(*Exchange)        { s.gone++ }
 
-func (s *recordingService) RequestRefused(e *httpcodec.Error) {
+func (s *recordingService) RequestRejected(e *httpcodec.Error) {
 	s.rejected = append(s.rejected, e.Status)
 }
 
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -67,7 +67,7 @@
 	if n := len(p.idle); n > 0 {
 		conn := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		p.Loop.Cancel(&conn.timer)
+		p.Loop.CancelTimer(&conn.timer)
 		conn.startCall(call)
 		return
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	p.idle = append(p.idle, conn)
-	p.Loop.Start(&conn.timer, p.options.IdleTimeout)
+	p.Loop.StartTimer(&conn.timer, p.options.IdleTimeout)
 }
 
 // removeIdle removes a connection from the idle ones, and reports whether it was one of them.
@@ -173,7 +173,7 @@
 func (p *Pool) FailUnsent() {
 	calls := append([]*Call(nil), p.queue[p.queueStart:]...)
 	for conn := range p.conns {
-		if conn.call != nil && !conn.tcp.Established() {
+		if conn.call != nil && !conn.tcp.IsEstablished() {
 			calls = append(calls, conn.call)
 		}
 	}
--- a/internal/httpconn/problem.go
+++ b/internal/httpconn/problem.go
@@ -5,9 +5,9 @@
 // ProblemType is the media type of an RFC 9457 problem.
 const ProblemType = "application/problem+json"
 
-// Problem responds with an RFC 9457 problem, the form of all rejections and errors. detail must not need escaping in
+// RespondProblem responds with an RFC 9457 problem, the form of all rejections and errors. detail must not need escaping in
 // JSON. The exchange must not be used afterwards.
-func (x *Exchange) Problem(status int, detail string) {
+func (x *Exchange) RespondProblem(status int, detail string) {
 	head := x.StartResponse(status)
 	head = httpcodec.AppendHeader(head, "Content-Type", ProblemType)
 	x.FinishResponse(head, AppendProblem(nil, status, detail))
--- a/internal/httpconn/server.go
+++ b/internal/httpconn/server.go
@@ -15,12 +15,12 @@
 
 // ServerOptions bound a server; zero values select the defaults.
 type ServerOptions struct {
-	Limits      httpcodec.Limits // of requests; default httpcodec.DefaultLimits
-	IdleTimeout float64          // s that an idle connection is kept; default 60
-	HeadTimeout float64          // s to receive a complete head; default 10
-	BodyTimeout float64          // s between two pieces of a request body, or of a response that the peer reads; default 30
-	Budget      *MemoryBudget    // request bodies in memory are reserved in it; nil for no limit
-	StreamAhead int              // bytes of a streamed response that may wait for the peer; default 256 KiB
+	Limits          httpcodec.Limits // of requests; default httpcodec.DefaultLimits
+	IdleTimeout     float64          // s that an idle connection is kept; default 60
+	HeadTimeout     float64          // s to receive a complete head; default 10
+	BodyTimeout     float64          // s between two pieces of a request body, or of a response that the peer reads; default 30
+	MemoryBudget    *MemoryBudget    // request bodies in memory are reserved in it; nil for no limit
+	MaxStreamBuffer int              // bytes of a streamed response that may wait for the peer; default 256 KiB
 }
 
 func (o ServerOptions) withDefaults() ServerOptions {
@@ -36,11 +36,11 @@
 	if o.BodyTimeout <= 0 {
 		o.BodyTimeout = 30
 	}
-	if o.StreamAhead <= 0 {
-		o.StreamAhead = 256 << 10
+	if o.MaxStreamBuffer <= 0 {
+		o.MaxStreamBuffer = 256 << 10
 	}
-	if o.Budget == nil {
-		o.Budget = &MemoryBudget{}
+	if o.MemoryBudget == nil {
+		o.MemoryBudget = &MemoryBudget{}
 	}
 	return o
 }
@@ -59,7 +59,7 @@
 	// StreamWritable is called when a streamed response may be continued after WriteStream has returned false.
 	StreamWritable(x *Exchange)
 	// RequestRefused is called for each message that the server itself rejects, so that it can be counted.
-	RequestRefused(e *httpcodec.Error)
+	RequestRejected(e *httpcodec.Error)
 }
 
 // Server serves HTTP/1.1 on one listener.
@@ -94,7 +94,7 @@
 // ConnectionCount returns the number of open connections, or more while connections may still be waiting to be accepted
 // by Drain: a server is drained when it returns 0.
 func (s *Server) ConnectionCount() int {
-	if s.listener.Draining() {
+	if s.listener.IsDraining() {
 		return len(s.conns) + 1
 	}
 	return len(s.conns)
@@ -108,7 +108,7 @@
 	s.listener.Drain()
 	for c := range s.conns {
 		if c.isIdle() {
-			s.Loop.Start(&c.timer, drainIdleTimeout)
+			s.Loop.StartTimer(&c.timer, drainIdleTimeout)
 		}
 	}
 }
--- a/internal/httpconn/server_conn.go
+++ b/internal/httpconn/server_conn.go
@@ -36,7 +36,7 @@
 	if s.draining {
 		timeout = math.Min(timeout, drainHeadTimeout)
 	}
-	s.Loop.Start(&c.timer, timeout)
+	s.Loop.StartTimer(&c.timer, timeout)
 	return c
 }
 
@@ -69,7 +69,7 @@
 		c.server.releaseExchange(c.exchange)
 		c.exchange = nil
 	}
-	c.server.Loop.Cancel(&c.timer)
+	c.server.Loop.CancelTimer(&c.timer)
 	delete(c.server.conns, c)
 }
 
@@ -94,7 +94,7 @@
 // closeIdle closes an idle connection, unless a request has arrived in time that has not been read yet.
 func (c *serverConn) closeIdle() {
 	c.tcp.ReadNow()
-	if !c.isIdle() || !c.tcp.Open() {
+	if !c.isIdle() || !c.tcp.IsOpen() {
 		return
 	}
 	c.tcp.CloseFlushed()
@@ -103,13 +103,13 @@
 
 // reject responds to a message that is not accepted, and closes the connection.
 func (c *serverConn) reject(e *httpcodec.Error) {
-	c.server.Service.RequestRefused(e)
+	c.server.Service.RequestRejected(e)
 	exchange := c.exchange
 	if exchange == nil {
 		exchange = c.newExchange()
 	}
 	exchange.closeAfter = true
-	exchange.Problem(e.Status, e.Reason)
+	exchange.RespondProblem(e.Status, e.Reason)
 }
 
 // newExchange makes an exchange the current one, reusing a released one if possible.
@@ -130,7 +130,7 @@
 
 // releaseExchange returns the memory that an exchange has reserved, and keeps the exchange and its buffers for reuse.
 func (s *Server) releaseExchange(x *Exchange) {
-	s.options.Budget.Used -= x.reservedBytes
+	s.options.MemoryBudget.Used -= x.reservedBytes
 	headers := x.Head.Headers[:0]
 	headBytes := x.headBytes[:0]
 	body := x.Body[:0]
--- a/internal/httpconn/server_read.go
+++ b/internal/httpconn/server_read.go
@@ -13,7 +13,7 @@
 	c.receiving = true
 	defer func() { c.receiving = false }()
 	used := 0
-	for c.tcp.Open() {
+	for c.tcp.IsOpen() {
 		if c.exchange == nil {
 			if used == len(input) {
 				break
@@ -63,16 +63,16 @@
 		if c.exchange == exchange { // the service reported a response that it did not write
 			c.reject(errNoResponse)
 		}
-		return n, c.exchange == nil && c.tcp.Open()
+		return n, c.exchange == nil && c.tcp.IsOpen()
 	}
-	if exchange.Head.Length > 0 && !exchange.reserve(exchange.Head.Length) {
+	if exchange.Head.ContentLength > 0 && !exchange.reserve(exchange.Head.ContentLength) {
 		c.reject(errNoMemory)
 		return len(input), false
 	}
-	if exchange.Head.Expect && !exchange.decoder.Done() {
+	if exchange.Head.ExpectContinue && !exchange.decoder.Done() {
 		c.tcp.Write(continueResponse)
 	}
-	c.server.Loop.Start(&c.timer, c.server.options.BodyTimeout)
+	c.server.Loop.StartTimer(&c.timer, c.server.options.BodyTimeout)
 	return n, true
 }
 
@@ -83,7 +83,7 @@
 	c.exchange = nil
 	if !c.headStarted {
 		c.headStarted = true
-		c.server.Loop.Start(&c.timer, c.server.options.HeadTimeout)
+		c.server.Loop.StartTimer(&c.timer, c.server.options.HeadTimeout)
 	}
 }
 
@@ -104,12 +104,12 @@
 		exchange.Body = append(exchange.Body, data...)
 		used += n
 		if n == 0 {
-			c.server.Loop.Start(&c.timer, c.server.options.BodyTimeout)
+			c.server.Loop.StartTimer(&c.timer, c.server.options.BodyTimeout)
 			return used, false
 		}
 	}
 	exchange.requestComplete = true
-	c.server.Loop.Cancel(&c.timer)
+	c.server.Loop.CancelTimer(&c.timer)
 	c.server.Service.RequestReceived(exchange)
 	return used, true
 }
--- a/internal/httpconn/server_test.go
+++ b/internal/httpconn/server_test.go
@@ -67,10 +67,10 @@
 	l := eventlooptest.Start(t)
 	budget := &MemoryBudget{Limit: 10}
 	server, service := startServer(t, l, ServerOptions{
-		Limits:      httpcodec.Limits{Line: 100, Head: 500, Headers: 10, Body: 50},
-		HeadTimeout: 0.5,
-		BodyTimeout: 0.5,
-		Budget:      budget,
+		Limits:       httpcodec.Limits{Line: 100, Head: 500, Headers: 10, Body: 50},
+		HeadTimeout:  0.5,
+		BodyTimeout:  0.5,
+		MemoryBudget: budget,
 	})
 	for _, c := range []struct {
 		name, request string
--- a/internal/lab/baseline.go
+++ b/internal/lab/baseline.go
@@ -61,8 +61,8 @@
 // StreamWritable implements httpconn.Service.
 func (e *echoService) StreamWritable(*httpconn.Exchange) {}
 
-// RequestRefused implements httpconn.Service.
-func (e *echoService) RequestRefused(*httpcodec.Error) {}
+// RequestRejected implements httpconn.Service.
+func (e *echoService) RequestRejected(*httpcodec.Error) {}
 
 // Relay returns a loop with baseline (a): round robin on the gateway's event loop and codec, without decisions.
 func Relay(at netip.AddrPort, workers []netip.AddrPort) (*eventloop.Loop, netip.AddrPort, error) {
@@ -105,8 +105,8 @@
 // StreamWritable implements httpconn.Service.
 func (r *relayService) StreamWritable(*httpconn.Exchange) {}
 
-// RequestRefused implements httpconn.Service.
-func (r *relayService) RequestRefused(*httpcodec.Error) {}
+// RequestRejected implements httpconn.Service.
+func (r *relayService) RequestRejected(*httpcodec.Error) {}
 
 // ClientGone implements httpconn.Service.
 func (r *relayService) ClientGone(x *httpconn.Exchange) {
@@ -180,7 +180,7 @@
 	x := r.exchange
 	r.exchange = nil
 	if err != nil {
-		x.Problem(502, "the worker failed")
+		x.RespondProblem(502, "the worker failed")
 	} else {
 		x.FinishResponse(append(x.StartResponse(r.status), r.headers...), r.body)
 	}
--- a/internal/lab/bench.go
+++ b/internal/lab/bench.go
@@ -21,14 +21,14 @@
 
 // BenchOptions select how to measure.
 type BenchOptions struct {
-	Self    []string      // command line of mastchute
-	Workers int           // echo workers
-	Conns   int           // client connections
-	Span    time.Duration // of each measurement
-	Idle    int           // idle connections for the memory figure; 0 leaves it out
-	Rounds  int           // measurements of each target, in turn; the median counts
-	Dir     string        // for settings; empty for a temporary one
-	Say     io.Writer     // progress
+	Command         []string      // command line of mastchute
+	Workers         int           // echo workers
+	Connections     int           // client connections
+	Duration        time.Duration // of each measurement
+	IdleConnections int           // idle connections for the memory figure; 0 leaves it out
+	Rounds          int           // measurements of each target, in turn; the median counts
+	Dir             string        // for settings; empty for a temporary one
+	Progress        io.Writer     // progress
 }
 
 // BenchRow holds one target's figures.
@@ -147,8 +147,8 @@
 	c.Admin = "off"
 	c.Log.Format = "json"
 	c.Seed = 1
-	c.Groups = []config.Group{{Name: "read", Effect: effectRetriable, SLO: config.S(1), Timeout: config.S(5), Value: 1}}
-	c.Models = []config.Model{{Name: "m-*", Group: "read", Memory: config.B(1e8), Lanes: 8, Load: config.S(0.5)}}
+	c.Groups = []config.Group{{Name: "read", Effect: effectRetriable, SLO: config.Seconds(1), Timeout: config.Seconds(5), PriorityWeight: 1}}
+	c.Models = []config.Model{{Name: "m-*", Group: "read", Memory: config.Bytes(1e8), Concurrency: 8, LoadTime: config.Seconds(0.5)}}
 	for i, address := range workers {
 		c.Workers = append(c.Workers, config.Worker{Name: workerName(i), Address: address})
 	}
@@ -162,7 +162,7 @@
 
 // start starts mastchute with arguments and returns the addresses that it announces.
 func (b *benchmark) start(args ...string) (addresses string, p *process, err error) {
-	options := Options{Self: b.options.Self}
+	options := Options{Command: b.options.Command}
 	outputReader, outputWriter := io.Pipe()
 	p, err = options.startProcess(outputWriter, outputWriter, args...)
 	if err != nil {
@@ -204,11 +204,11 @@
 
 // measureIdle measures the memory of idle connections at all targets but the echo workers.
 func (b *benchmark) measureIdle() error {
-	if b.options.Idle <= 0 {
+	if b.options.IdleConnections <= 0 {
 		return nil
 	}
 	for _, t := range b.targets[:len(b.targets)-1] {
-		bytes, err := idleBytes(t.address, t.pid, b.options.Idle)
+		bytes, err := idleBytes(t.address, t.pid, b.options.IdleConnections)
 		if err != nil {
 			return err
 		}
@@ -230,7 +230,7 @@
 				return err
 			}
 			measured[i] = append(measured[i], m)
-			fmt.Fprintf(b.options.Say, "%-18s %8.0f a second, %8.0f a CPU second\n", t.row.Target, m.perSecond, m.perCPU)
+			fmt.Fprintf(b.options.Progress, "%-18s %8.0f a second, %8.0f a CPU second\n", t.row.Target, m.perSecond, m.perCPU)
 		}
 	}
 	for i, t := range b.targets {
@@ -243,12 +243,12 @@
 
 // closedLoop measures one target after a warm-up.
 func (b *benchmark) closedLoop(t *benchTarget) (throughput, error) {
-	if _, err := drive(t.address, b.options.Conns, 0, b.options.Span/4); err != nil {
+	if _, err := drive(t.address, b.options.Connections, 0, b.options.Duration/4); err != nil {
 		return throughput{}, err
 	}
 	cpuBefore := cpuSeconds(t.pid)
 	begin := time.Now()
-	latencies, err := drive(t.address, b.options.Conns, 0, b.options.Span)
+	latencies, err := drive(t.address, b.options.Connections, 0, b.options.Duration)
 	if err != nil {
 		return throughput{}, err
 	}
@@ -267,7 +267,7 @@
 	measured := make([][]openLoopLatency, len(b.targets))
 	for range max(1, b.options.Rounds) {
 		for i, t := range b.targets {
-			latencies, err := drive(t.address, b.options.Conns, rate, b.options.Span)
+			latencies, err := drive(t.address, b.options.Connections, rate, b.options.Duration)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/bench_driver.go
+++ b/internal/lab/bench_driver.go
@@ -45,7 +45,7 @@
 				d.send(loop.Clock())
 			}
 		}
-		loop.Start(&eventloop.Timer{Fire: loop.Stop}, span.Seconds()+driverGrace)
+		loop.StartTimer(&eventloop.Timer{Fire: loop.Stop}, span.Seconds()+driverGrace)
 	})
 	if err := loop.Run(); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 		}
 	}
 	if d.nextAt < d.end {
-		d.loop.Start(&d.timer, d.nextAt-d.loop.Now())
+		d.loop.StartTimer(&d.timer, d.nextAt-d.loop.Now())
 	}
 }
 
--- a/internal/lab/convert.go
+++ b/internal/lab/convert.go
@@ -171,7 +171,7 @@
 }
 
 // fromMicros converts microseconds to a duration in whole milliseconds.
-func fromMicros(us float64) config.Duration { return config.S(math.Round(us/1e3) / 1e3) }
+func fromMicros(us float64) config.Duration { return config.Seconds(math.Round(us/1e3) / 1e3) }
 
 func (c *converter) convertSite() {
 	day := &c.day
@@ -202,7 +202,7 @@
 	day := &c.day
 	memoryMB := c.spareMB() + 0.5*c.mean.cores*day.Loading.Models[0].Memory/1e3
 	c.scenario.Fleet = Fleet{Workers: len(day.Servers), Zones: max(1, len(day.Zones)), Cores: round3(c.mean.cores),
-		Speed: round3(math.Max(0.01, c.mean.speed)), Memory: config.B(int64(memoryMB * 1e6)), Queue: c.mean.queue,
+		Speed: round3(math.Max(0.01, c.mean.speed)), Memory: config.Bytes(int64(memoryMB * 1e6)), Queue: c.mean.queue,
 		Loads: max(1, day.Loading.ConcurrentLoads), Disk: day.Loading.Disk > 0, StopsCancelled: day.Tiers[0].Kinds[0].Cancel == "all",
 		Keep: fromMicros(day.Loading.Keep)}
 }
@@ -211,20 +211,20 @@
 	day := &c.day
 	rules := &c.scenario.Settings.Rules
 	rules.DrainGrace = fromMicros(day.DrainGrace)
-	rules.ColdShare = round3(c.mean.slowStartCapacity)
-	rules.WarmAfter = fromMicros(c.mean.slowStartDuration)
+	rules.SlowStartCapacity = round3(c.mean.slowStartCapacity)
+	rules.SlowStartDuration = fromMicros(c.mean.slowStartDuration)
 	rules.OverloadFactor = day.OverloadFactor
-	rules.Fall = fromMicros(day.OverloadWindow)
+	rules.OverloadWindow = fromMicros(day.OverloadWindow)
 	loads := &c.scenario.Settings.Loads
 	loads.OnMiss = string(emulator.RejectOnMiss)
 	if day.Loading.SelfLoad {
 		loads.OnMiss = string(emulator.LoadOnMiss)
 	}
-	loads.Keep = c.scenario.Fleet.Keep
+	loads.KeepAlive = c.scenario.Fleet.Keep
 	if day.Loading.LoadShare > 0 {
-		loads.Window = fromMicros(day.Loading.LoadWindow)
-		loads.Few = day.Loading.LoadsFree
-		loads.Share = day.Loading.LoadShare
+		loads.BudgetWindow = fromMicros(day.Loading.LoadWindow)
+		loads.BudgetBase = day.Loading.LoadsFree
+		loads.BudgetPerRequest = day.Loading.LoadShare
 	}
 }
 
@@ -243,7 +243,7 @@
 		c.scenario.Settings.Groups = append(c.scenario.Settings.Groups, class.group())
 		meanWork += class.Share * (class.Work + class.IO) / 1e6
 		c.scenario.Models = append(c.scenario.Models, ModelSet{Name: class.Name, Group: class.Name, Count: max(1, int(models*class.Share)),
-			Memory: config.B(int64(kind.Memory * 1e3)), Lanes: max(1, kind.Lanes), Work: fromMicros(class.Work + class.IO),
+			Memory: config.Bytes(int64(kind.Memory * 1e3)), Lanes: max(1, kind.Lanes), Work: fromMicros(class.Work + class.IO),
 			Fetch: fromMicros(kind.Load * day.Loading.FetchShare), Boot: fromMicros(kind.Load * (1 - day.Loading.FetchShare)),
 			Share: round3(class.Share), Zipf: day.Loading.Zipf})
 		if class.IO > 0 {
@@ -255,14 +255,14 @@
 }
 
 func (class *benchClass) group() config.Group {
-	g := config.Group{Name: class.Name, SLO: fromMicros(class.Latency), Timeout: fromMicros(class.Deadline), Value: math.Max(0.1, class.Weight)}
+	g := config.Group{Name: class.Name, SLO: fromMicros(class.Latency), Timeout: fromMicros(class.Deadline), PriorityWeight: math.Max(0.1, class.Weight)}
 	switch class.Effect {
 	case "safe":
 		g.Effect = effectRetriable
 	case "keyed":
 		g.Effect = effectDeduped
-		g.Scope = class.DedupScope
-		g.Window = fromMicros(class.DedupWindow)
+		g.DedupScope = class.DedupScope
+		g.DedupWindow = fromMicros(class.DedupWindow)
 	default:
 		g.Effect = effectNonRetriable
 	}
@@ -273,7 +273,7 @@
 	day := &c.day
 	capacity := float64(len(day.Servers)) * c.mean.cores * c.mean.speed
 	c.scenario.Clients = Clients{Rate: round3(day.Traffic.Load * capacity / meanWork), Retries: day.Clients.Retries, Impatient: day.Clients.Impatient}
-	c.scenario.Network = Network{Delay: config.S(math.Round(day.Net.Same) / 1e6), Jitter: config.S(math.Round(day.Net.Same*day.Net.Jitter) / 1e6)}
+	c.scenario.Network = Network{Delay: config.Seconds(math.Round(day.Net.Same) / 1e6), Jitter: config.Seconds(math.Round(day.Net.Same*day.Net.Jitter) / 1e6)}
 }
 
 // storeLimitFactor is the multiple of the store's concurrent fetches at full speed beyond which it rejects more.
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -54,13 +54,13 @@
 
 // Evidence is all that was recorded of a scenario.
 type Evidence struct {
-	Settings     *config.Config
-	Zones        map[string]string // by worker
-	Cells        map[string]string // by worker
-	Tries        []ClientAttempt
-	Records      []emulator.Record
-	StateChanges []StateChange
-	Outages      []Outage
+	Settings       *config.Config
+	Zones          map[string]string // by worker
+	Cells          map[string]string // by worker
+	ClientAttempts []ClientAttempt
+	Records        []emulator.Record
+	StateChanges   []StateChange
+	Outages        []Outage
 }
 
 // newEvidence returns evidence of a scenario that holds nothing but its settings and workers.
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -41,9 +41,9 @@
 
 // Limits bound an experiment.
 type Limits struct {
-	Seeds int     // at most, for each variant
-	Least float64 // differences of service below it do not matter
-	Jobs  int     // concurrent runs; 0 for as many as there are processors
+	Seeds         int     // at most, for each variant
+	MinDifference float64 // differences of service below it do not matter
+	Concurrency   int     // concurrent runs; 0 for as many as there are processors
 }
 
 const (
@@ -135,7 +135,7 @@
 // playBatch plays some seeds of the open variants. A batch that is interrupted does not count.
 func (x *experiment) playBatch(ctx context.Context, firstSeed, seeds int, open []int) {
 	reports := make([]*Report, seeds*len(open)) // by seed, then by variant
-	inParallel(x.limits.Jobs, len(reports), func(i int) {
+	inParallel(x.limits.Concurrency, len(reports), func(i int) {
 		s, _ := ParseScenario("", x.variants[open[i%len(open)]].Text, Simulated) // checked before
 		s.Seed = uint64(firstSeed + i/len(open))
 		_, reports[i] = Simulate(ctx, s, nil, nil)
@@ -151,7 +151,7 @@
 		result := &x.results[i]
 		if i > 0 {
 			result.HalfWidth = halfWidth(result.differences, confidenceLevel)
-			result.Stopped = verdict(result.differences, x.limits.Least)
+			result.Stopped = verdict(result.differences, x.limits.MinDifference)
 		}
 		fmt.Fprintf(x.progress, "%s: service %.4f, difference %+.4f +- %.4f after %d seeds %s\n", result.Name, result.Service,
 			result.Difference, result.HalfWidth, result.Seeds, result.Stopped)
@@ -193,13 +193,13 @@
 	updateMean(&v.Difference, difference)
 	v.Nearest = math.Max(v.Nearest, report.Findings[ruleSlowStart-1].Nearest)
 	v.differences = append(v.differences, difference)
-	if report.Broken() {
+	if report.HasViolations() {
 		v.Broken++
 	}
 }
 
-// WriteRows prints the results for people.
-func WriteRows(out io.Writer, results []VariantResult) {
+// WriteResults prints the results for people.
+func WriteResults(out io.Writer, results []VariantResult) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "variant\tseeds\tservice\twarm\tturned away\tloads each\tbroken\tcold limit\tdifference\t+-\t")
 	for _, v := range results {
--- a/internal/lab/experiment_test.go
+++ b/internal/lab/experiment_test.go
@@ -41,12 +41,12 @@
 `
 
 func TestExperimentDoesNotDependOnJobs(t *testing.T) {
-	list, err := Vary([]byte(tinyScenario), []string{"fleet.workers", "settings.groups[0].slo"}, [][]string{{"1", "3"}, {"500ms", "60ms"}})
+	list, err := MakeVariants([]byte(tinyScenario), []string{"fleet.workers", "settings.groups[0].slo"}, [][]string{{"1", "3"}, {"500ms", "60ms"}})
 	if err != nil || len(list) != 4 || list[3].Name != "fleet.workers=3 settings.groups[0].slo=60ms" {
 		t.Fatalf("%v %+v", err, list)
 	}
 	play := func(jobs int) string {
-		rows, err := Experiment(context.Background(), list, Limits{Seeds: 8, Least: 0.005, Jobs: jobs}, io.Discard)
+		rows, err := Experiment(context.Background(), list, Limits{Seeds: 8, MinDifference: 0.005, Concurrency: jobs}, io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,13 +54,13 @@
 			t.Errorf("an SLO time of little more than the work: %+v", rows[1])
 		}
 		var b bytes.Buffer
-		WriteRows(&b, rows)
+		WriteResults(&b, rows)
 		return b.String()
 	}
 	if a, b := play(1), play(4); a != b {
 		t.Errorf("%s\n%s", a, b)
 	}
-	bad, _ := Vary([]byte(tinyScenario), []string{"fleet.workers"}, [][]string{{"-1", "2"}})
+	bad, _ := MakeVariants([]byte(tinyScenario), []string{"fleet.workers"}, [][]string{{"-1", "2"}})
 	if _, err := Experiment(context.Background(), bad, Limits{Seeds: 4}, io.Discard); err == nil || !strings.Contains(err.Error(), "fleet.workers") {
 		t.Errorf("a variant out of range: %v", err)
 	}
@@ -68,7 +68,7 @@
 		t.Error("one seed was taken for an interval")
 	}
 	for _, key := range []string{"settings.groups[7].slo", "name.x"} {
-		if _, err := Vary([]byte(tinyScenario), []string{key}, [][]string{{"1"}}); err == nil {
+		if _, err := MakeVariants([]byte(tinyScenario), []string{key}, [][]string{{"1"}}); err == nil {
 			t.Errorf("%s was set", key)
 		}
 	}
@@ -86,7 +86,7 @@
 	if calm.Service-rep.Service < 0.3 {
 		t.Fatalf("service %g, %g without troubles", rep.Service, calm.Service)
 	}
-	small, err := ParseScenario("small", Shrink(context.Background(), Found{Text: text, Service: rep.Service, Quiet: calm.Service}, io.Discard), Simulated)
+	small, err := ParseScenario("small", Shrink(context.Background(), WeakScenario{Text: text, Service: rep.Service, ServiceWithoutFaults: calm.Service}, io.Discard), Simulated)
 	if err != nil || len(small.Faults) != 1 || small.Faults[0].Kind != "hang" || len(small.Drains) > 0 {
 		t.Errorf("%v %+v", err, small)
 	}
@@ -109,11 +109,11 @@
 
 func TestDrawnScenariosAreValidAndRepeat(t *testing.T) {
 	for seed := uint64(1); seed <= 100; seed++ {
-		a, err := Draw(seed)
+		a, err := DrawScenario(seed)
 		if err == nil {
 			_, err = ParseScenario("drawn", a, Simulated)
 		}
-		if b, _ := Draw(seed); err != nil || !bytes.Equal(a, b) {
+		if b, _ := DrawScenario(seed); err != nil || !bytes.Equal(a, b) {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -160,12 +160,12 @@
 		o.Trace = append(o.Trace, Arrival{At: float64(i) * 0.002, Model: "m"})
 	}
 	time.AfterFunc(400*time.Millisecond, func() { close(gate) })
-	r, err := Load(context.Background(), o)
+	r, err := GenerateLoad(context.Background(), o)
 	if err != nil || r.Asked != 50 || r.Answers["returned"] != 50 || r.Returned.P50 < 0.3 || r.Returned.Max < 0.39 {
 		t.Errorf("%v %+v", err, r)
 	}
 	for _, url := range []string{"http://192.0.2.1:80", "https://127.0.0.1:1", "http://localhost:80", "x"} {
-		if _, err := Load(context.Background(), LoadOptions{URL: url, Models: []string{"m"}, Rate: 1, Seconds: 1}); err == nil {
+		if _, err := GenerateLoad(context.Background(), LoadOptions{URL: url, Models: []string{"m"}, Rate: 1, Duration: 1}); err == nil {
 			t.Errorf("%s was taken", url)
 		}
 	}
--- a/internal/lab/faulty_host_test.go
+++ b/internal/lab/faulty_host_test.go
@@ -175,7 +175,7 @@
 	if err := running.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	e.Tries = generator.clientAttempts()
+	e.ClientAttempts = generator.clientAttempts()
 	e.Records = decodeRecords(&records)
 	return e
 }
@@ -212,13 +212,13 @@
 		t.Run(c.fault, func(t *testing.T) {
 			t.Parallel()
 			for _, f := range CheckInvariants(playFaultyHost(t, c.fault, i+1)) {
-				violations := strings.Join(f.Breaks, "\n")
+				violations := strings.Join(f.Examples, "\n")
 				described := false
 				for _, message := range strings.Split(c.messages, "|") {
 					described = described || strings.Contains(violations, message)
 				}
-				if f.Rule != c.rule && f.Broken > 0 || f.Rule == c.rule && (f.Broken == 0 || !described) {
-					t.Errorf("rule %d: %d breaks: %s", f.Rule, f.Broken, violations)
+				if f.Rule != c.rule && f.Violations > 0 || f.Rule == c.rule && (f.Violations == 0 || !described) {
+					t.Errorf("rule %d: %d breaks: %s", f.Rule, f.Violations, violations)
 				}
 			}
 		})
--- a/internal/lab/hunt.go
+++ b/internal/lab/hunt.go
@@ -18,22 +18,22 @@
 	keptLoss = 0.75
 )
 
-// Found is a drawn scenario in which a rule is broken, or in which faults cost much service.
-type Found struct {
-	Text    []byte
-	Name    string
-	Service float64
-	Quiet   float64 // service of the same scenario without its faults
-	Broken  []Finding
+// WeakScenario is a drawn scenario in which a rule is broken, or in which faults cost much service.
+type WeakScenario struct {
+	Text                 []byte
+	Name                 string
+	Service              float64
+	ServiceWithoutFaults float64 // service of the same scenario without its faults
+	Violated             []Finding
 }
 
 // loss is the service that the faults cost.
-func (f *Found) loss() float64 { return f.Quiet - f.Service }
+func (f *WeakScenario) loss() float64 { return f.ServiceWithoutFaults - f.Service }
 
-// Hunt plays drawn scenarios, from a seed on, and returns the weak ones: those with broken rules first, then those whose
+// FindWeakScenarios plays drawn scenarios, from a seed on, and returns the weak ones: those with broken rules first, then those whose
 // faults cost most service.
-func Hunt(ctx context.Context, from uint64, budget, keep, jobs int, progress io.Writer) ([]Found, error) {
-	all := make([]*Found, budget)
+func FindWeakScenarios(ctx context.Context, from uint64, budget, keep, jobs int, progress io.Writer) ([]WeakScenario, error) {
+	all := make([]*WeakScenario, budget)
 	errs := make([]error, budget)
 	inParallel(jobs, budget, func(i int) {
 		if ctx.Err() != nil {
@@ -47,21 +47,21 @@
 		}
 		if ctx.Err() == nil {
 			all[i] = f
-			fmt.Fprintf(progress, "%s: service %.3f, %.3f without troubles, rules broken %d\n", f.Name, f.Service, f.Quiet, len(f.Broken))
+			fmt.Fprintf(progress, "%s: service %.3f, %.3f without troubles, rules broken %d\n", f.Name, f.Service, f.ServiceWithoutFaults, len(f.Violated))
 		}
 	})
-	var weak []Found
+	var weak []WeakScenario
 	for i, f := range all {
 		if errs[i] != nil {
 			return nil, errs[i]
 		}
-		if f != nil && (len(f.Broken) > 0 || f.loss() > minLoss) {
+		if f != nil && (len(f.Violated) > 0 || f.loss() > minLoss) {
 			weak = append(weak, *f)
 		}
 	}
 	sort.SliceStable(weak, func(i, j int) bool {
-		if len(weak[i].Broken) != len(weak[j].Broken) {
-			return len(weak[i].Broken) > len(weak[j].Broken)
+		if len(weak[i].Violated) != len(weak[j].Violated) {
+			return len(weak[i].Violated) > len(weak[j].Violated)
 		}
 		return weak[i].loss() > weak[j].loss()
 	})
@@ -69,8 +69,8 @@
 }
 
 // playDrawn plays the scenario of a seed with and without its faults.
-func playDrawn(ctx context.Context, seed uint64) (*Found, error) {
-	text, err := Draw(seed)
+func playDrawn(ctx context.Context, seed uint64) (*WeakScenario, error) {
+	text, err := DrawScenario(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -81,12 +81,12 @@
 	calm := s.withoutFaults()
 	_, report := Simulate(ctx, s, nil, nil)
 	_, calmReport := Simulate(ctx, calm, nil, nil)
-	return &Found{Text: text, Name: s.Name, Service: report.Service, Quiet: calmReport.Service, Broken: brokenRules(report)}, nil
+	return &WeakScenario{Text: text, Name: s.Name, Service: report.Service, ServiceWithoutFaults: calmReport.Service, Violated: brokenRules(report)}, nil
 }
 
 func brokenRules(r *Report) (out []Finding) {
 	for _, f := range r.Findings {
-		if f.Broken > 0 {
+		if f.Violations > 0 {
 			out = append(out, f)
 		}
 	}
@@ -94,22 +94,22 @@
 }
 
 // isAsWeak reports whether a smaller scenario still shows what was found: the broken rule, or most of the loss.
-func (f *Found) isAsWeak(ctx context.Context, text []byte) bool {
+func (f *WeakScenario) isAsWeak(ctx context.Context, text []byte) bool {
 	s, err := ParseScenario("shrunk", text, Simulated)
 	if err != nil {
 		return false
 	}
 	calm := s.withoutFaults()
 	_, report := Simulate(ctx, s, nil, nil)
-	if len(f.Broken) > 0 {
-		return report.Findings[f.Broken[0].Rule-1].Broken > 0
+	if len(f.Violated) > 0 {
+		return report.Findings[f.Violated[0].Rule-1].Violations > 0
 	}
 	_, calmReport := Simulate(ctx, calm, nil, nil)
 	return calmReport.Service-report.Service >= keptLoss*f.loss()
 }
 
 // Shrink removes what a scenario does not need to be weak, one step after the other, until no step is left.
-func Shrink(ctx context.Context, f Found, progress io.Writer) []byte {
+func Shrink(ctx context.Context, f WeakScenario, progress io.Writer) []byte {
 	text := f.Text
 	for {
 		step, smaller, ok := f.shrinkOnce(ctx, text)
@@ -122,7 +122,7 @@
 }
 
 // shrinkOnce returns the first scenario that is one step smaller and as weak.
-func (f *Found) shrinkOnce(ctx context.Context, text []byte) (step string, smaller []byte, ok bool) {
+func (f *WeakScenario) shrinkOnce(ctx context.Context, text []byte) (step string, smaller []byte, ok bool) {
 	for _, candidate := range reductions(text) {
 		if ctx.Err() != nil {
 			return "", nil, false
--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -11,11 +11,11 @@
 
 // Finding is the result of the check of one rule.
 type Finding struct {
-	Rule   int      `json:"rule"`
-	Name   string   `json:"name"`
-	Tests  int      `json:"tests"`            // how often the rule was put to the test
-	Breaks []string `json:"breaks,omitempty"` // the first violations
-	Broken int      `json:"broken"`           // number of violations
+	Rule       int      `json:"rule"`
+	Name       string   `json:"name"`
+	Tests      int      `json:"tests"`            // how often the rule was put to the test
+	Examples   []string `json:"breaks,omitempty"` // the first violations
+	Violations int      `json:"broken"`           // number of violations
 	// Nearest is how near to its limit the rule came at the worst, 1 for at the limit: of the client's timeout for rule 1,
 	// the drain grace for 3, the work that crashes a worker in slow start for 4 (simulated only), and the load budget for 5.
 	Nearest float64 `json:"nearest,omitempty"`
@@ -24,7 +24,7 @@
 // Verdict returns "BROKEN", "kept", or "not shown" if nothing put the rule to the test.
 func (f Finding) Verdict() string {
 	switch {
-	case f.Broken > 0:
+	case f.Violations > 0:
 		return "BROKEN"
 	case f.Tests == 0:
 		return "not shown"
@@ -40,9 +40,9 @@
 )
 
 func (f *Finding) violation(format string, args ...any) {
-	f.Broken++
-	if len(f.Breaks) < maxExamples {
-		f.Breaks = append(f.Breaks, fmt.Sprintf(format, args...))
+	f.Violations++
+	if len(f.Examples) < maxExamples {
+		f.Examples = append(f.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -110,8 +110,8 @@
 func (c *invariantChecker) checkAnswers() Finding {
 	f := Finding{Name: "one final answer each, in time, nothing sent after"}
 	answers := map[string]int{} // by request
-	for i := range c.Tries {
-		a := &c.Tries[i]
+	for i := range c.ClientAttempts {
+		a := &c.ClientAttempts[i]
 		if a.UnwantedBytes > 0 {
 			f.violation("%s: %d bytes came behind the answer of try %d of %s: a second answer", a.Request, a.UnwantedBytes, a.Number, a.Key)
 		}
@@ -166,8 +166,8 @@
 func (c *invariantChecker) checkEffects() Finding {
 	f := Finding{Name: "no effect twice"}
 	shed := map[string]*ClientAttempt{} // by request
-	for i := range c.Tries {
-		if a := &c.Tries[i]; a.Answer == AnswerShed {
+	for i := range c.ClientAttempts {
+		if a := &c.ClientAttempts[i]; a.Answer == AnswerShed {
 			shed[a.Request] = a
 		}
 	}
@@ -184,7 +184,7 @@
 		first := c.checkRetries(&f, id, group)
 		if a, ok := shed[id]; ok {
 			f.Tests++
-			mayBeRepeated := group.Effect != effectNonRetriable && group.Scope == "all"
+			mayBeRepeated := group.Effect != effectNonRetriable && group.DedupScope == "all"
 			if first != nil && first.T < a.AnsweredAt && !mayBeRepeated {
 				f.violation("%s of %s %s: shed, though forward %d at %s may have run", id, group.Effect, group.Name, first.Attempt, first.Worker)
 			}
@@ -222,16 +222,16 @@
 // checkDuplicate checks that a retry of a deduplicated request reaches a worker that drops duplicates of the first, in time.
 func (c *invariantChecker) checkDuplicate(f *Finding, id string, group config.Group, first, a *workerAttempt) {
 	if !c.sharesDedupScope(group, first.Worker, a.Worker) {
-		f.violation("%s of deduped %s: forward %d went to %s, outside the %s of %s", id, group.Name, a.Attempt, a.Worker, group.Scope, first.Worker)
+		f.violation("%s of deduped %s: forward %d went to %s, outside the %s of %s", id, group.Name, a.Attempt, a.Worker, group.DedupScope, first.Worker)
 	}
-	if late := a.T - first.T - group.Window.Seconds; late > wireSlack {
-		f.violation("%s of deduped %s: forward %d came %.3f s past the window of %gs", id, group.Name, a.Attempt, late, group.Window.Seconds)
+	if late := a.T - first.T - group.DedupWindow.Seconds; late > wireSlack {
+		f.violation("%s of deduped %s: forward %d came %.3f s past the window of %gs", id, group.Name, a.Attempt, late, group.DedupWindow.Seconds)
 	}
 }
 
 // sharesDedupScope reports whether worker b drops duplicates of what worker a received.
 func (c *invariantChecker) sharesDedupScope(group config.Group, a, b string) bool {
-	switch emulator.DedupScope(group.Scope) {
+	switch emulator.DedupScope(group.DedupScope) {
 	case emulator.DedupZone:
 		return c.Zones[a] == c.Zones[b]
 	case emulator.DedupCell:
--- a/internal/lab/invariants_limits.go
+++ b/internal/lab/invariants_limits.go
@@ -34,7 +34,7 @@
 		switch r.Event {
 		case emulator.EventArrived:
 			w.attempts = append(w.attempts, r)
-			if !w.tested && r.T < w.startedAt+c.Settings.Rules.WarmAfter.Seconds {
+			if !w.tested && r.T < w.startedAt+c.Settings.Rules.SlowStartDuration.Seconds {
 				w.tested = true
 				f.Tests++
 			}
@@ -51,7 +51,7 @@
 
 // checkOverload checks who sent the attempts that crashed a worker.
 func (c *invariantChecker) checkOverload(f *Finding, w *startedWorker, crash emulator.Record) {
-	window := c.Settings.Rules.Fall.Seconds
+	window := c.Settings.Rules.OverloadWindow.Seconds
 	all, informed := 0, 0
 	senders := map[string]int{} // informed ones
 	for _, a := range w.attempts {
@@ -84,11 +84,11 @@
 func (c *invariantChecker) checkLoadBudget() Finding {
 	f := Finding{Name: "orders to load rationed"}
 	loads := c.Settings.Loads
-	if loads.Window.Seconds <= 0 {
+	if loads.BudgetWindow.Seconds <= 0 {
 		return f
 	}
 	requestedAt := map[string][]float64{} // requests by dispatcher
-	for _, a := range c.Tries {
+	for _, a := range c.ClientAttempts {
 		if !a.NotAccepted {
 			requestedAt[a.Dispatcher] = append(requestedAt[a.Dispatcher], a.SentAt)
 		}
@@ -99,14 +99,14 @@
 			continue
 		}
 		f.Tests++
-		since := c.budgetStart(r.Dispatcher, r.T, loads.Window.Seconds)
+		since := c.budgetStart(r.Dispatcher, r.T, loads.BudgetWindow.Seconds)
 		loadedAt[r.Dispatcher] = append(loadedAt[r.Dispatcher], r.T)
 		used := countWithin(loadedAt[r.Dispatcher], since+wireSlack, r.T)
 		requests := countWithin(requestedAt[r.Dispatcher], since-wireSlack, r.T)
-		budget := loads.Few + loads.Share*float64(requests)
+		budget := loads.BudgetBase + loads.BudgetPerRequest*float64(requests)
 		f.nearest(float64(used) / math.Max(1, budget))
 		if float64(used) > budget {
-			f.violation("%s ordered %d loads within %gs, where %d inferences allow %.1f", r.Dispatcher, used, loads.Window.Seconds, requests, budget)
+			f.violation("%s ordered %d loads within %gs, where %d inferences allow %.1f", r.Dispatcher, used, loads.BudgetWindow.Seconds, requests, budget)
 		}
 	}
 	return f
--- a/internal/lab/invariants_test.go
+++ b/internal/lab/invariants_test.go
@@ -18,10 +18,10 @@
 func parseEvidence(t *testing.T, text string) *Evidence {
 	t.Helper()
 	s := config.Default()
-	s.Groups = []config.Group{{Name: "read", Effect: "retriable"}, {Name: "write", Effect: "deduped", Scope: "zone", Window: config.S(2)},
-		{Name: "all", Effect: "deduped", Scope: "all", Window: config.S(2)}, {Name: "once", Effect: "non-retriable"}}
-	s.Rules = config.Rules{DrainGrace: config.S(0.5), WarmAfter: config.S(5), Fall: config.S(1), OverloadFactor: 2, ColdShare: 0.2}
-	s.Loads.Window, s.Loads.Few, s.Loads.Share = config.S(5), 2, 0.5
+	s.Groups = []config.Group{{Name: "read", Effect: "retriable"}, {Name: "write", Effect: "deduped", DedupScope: "zone", DedupWindow: config.Seconds(2)},
+		{Name: "all", Effect: "deduped", DedupScope: "all", DedupWindow: config.Seconds(2)}, {Name: "once", Effect: "non-retriable"}}
+	s.Rules = config.Rules{DrainGrace: config.Seconds(0.5), SlowStartDuration: config.Seconds(5), OverloadWindow: config.Seconds(1), OverloadFactor: 2, SlowStartCapacity: 0.2}
+	s.Loads.BudgetWindow, s.Loads.BudgetBase, s.Loads.BudgetPerRequest = config.Seconds(5), 2, 0.5
 	e := &Evidence{Settings: &s, Zones: map[string]string{"a": "1", "b": "1", "c": "2"}, Cells: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
 		f := append(strings.Fields(line), "", "", "", "", "", "")
@@ -56,9 +56,9 @@
 			a := ClientAttempt{SentAt: at, Request: f[3], Answer: Answer(f[4]), Timeout: 1, Dispatcher: "d0", Key: "k" + f[3]}
 			fmt.Sscan(f[2], &a.AnsweredAt)
 			fmt.Sscan(f[5], &a.Timeout)
-			e.Tries = append(e.Tries, a)
+			e.ClientAttempts = append(e.ClientAttempts, a)
 		case "extra":
-			e.Tries[len(e.Tries)-1].UnwantedBytes = 7
+			e.ClientAttempts[len(e.ClientAttempts)-1].UnwantedBytes = 7
 		case "word":
 			e.StateChanges = append(e.StateChanges, StateChange{Dispatcher: f[2], Worker: f[3], State: f[4], NotifiedAt: at})
 		case "down":
@@ -111,10 +111,10 @@
 	} {
 		for _, f := range CheckInvariants(parseEvidence(t, c.events)) {
 			switch {
-			case f.Rule != c.rule && f.Broken > 0:
-				t.Errorf("%s: rule %d is called broken: %q", c.name, f.Rule, f.Breaks)
-			case f.Rule == c.rule && (f.Broken == 0 || !strings.Contains(strings.Join(f.Breaks, "\n"), c.message)):
-				t.Errorf("%s: rule %d: %d breaks %q", c.name, f.Rule, f.Broken, f.Breaks)
+			case f.Rule != c.rule && f.Violations > 0:
+				t.Errorf("%s: rule %d is called broken: %q", c.name, f.Rule, f.Examples)
+			case f.Rule == c.rule && (f.Violations == 0 || !strings.Contains(strings.Join(f.Examples, "\n"), c.message)):
+				t.Errorf("%s: rule %d: %d breaks %q", c.name, f.Rule, f.Violations, f.Examples)
 			case f.Rule == c.rule && f.Verdict() != "BROKEN":
 				t.Errorf("%s: verdict %s", c.name, f.Verdict())
 			}
@@ -131,7 +131,7 @@
 	tests := map[int]int{}
 	for _, f := range CheckInvariants(parseEvidence(t, "try 1 1.5 i returned\narrive 1 i.0 a write\narrive 1.2 i.1 b write\nword 2 d0 b gone\nstart 3 c\narrive 3.5 j.0 c read\norder 4 a d0")) {
 		if tests[f.Rule] = f.Tests; f.Verdict() != "kept" {
-			t.Errorf("rule %d: %s %q", f.Rule, f.Verdict(), f.Breaks)
+			t.Errorf("rule %d: %s %q", f.Rule, f.Verdict(), f.Examples)
 		}
 	}
 	for rule := 1; rule <= 5; rule++ {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -22,37 +22,37 @@
 // LoadOptions describe the load that is put on a gateway. Arrivals are open loop: they come at their times whatever becomes
 // of those before, and latency counts from the intended time, so that a gateway that stalls cannot hide what it delayed.
 type LoadOptions struct {
-	URL       string
-	Models    []string // by popularity, the most popular first
-	Zipf      float64  // exponent of their popularity; 0 for equal popularity
-	Hot       float64  // fraction of requests that are for the first model instead
-	Shift     float64  // seconds after which popularity moves on by one model; 0 for never
-	Unseen    float64  // fraction for a model that was not requested before: the first model's name with a number
-	Rate      float64  // requests a second
-	Seconds   float64
-	Burst     float64 // factor of the rate in bursts; 0 or 1 for none
-	BurstOf   float64 // seconds of a burst, one in every ten times as long
-	Tenants   []string
-	Timeout   float64 // seconds that the client states and waits
-	Impatient float64 // fraction that leaves after a tenth of the timeout, and retries
-	Retries   int     // after a shed answer
-	Seed      uint64
-	Trace     []Arrival // replayed instead of a drawn load; nil for none
-	Body      string    // empty for a default
-	Most      int       // concurrent requests; arrivals beyond it are counted as not sent; 0 for a default
-	Say       io.Writer // a progress line each second; may be nil
+	URL           string
+	Models        []string // by popularity, the most popular first
+	Zipf          float64  // exponent of their popularity; 0 for equal popularity
+	Hot           float64  // fraction of requests that are for the first model instead
+	Shift         float64  // seconds after which popularity moves on by one model; 0 for never
+	Unseen        float64  // fraction for a model that was not requested before: the first model's name with a number
+	Rate          float64  // requests a second
+	Duration      float64
+	Burst         float64 // factor of the rate in bursts; 0 or 1 for none
+	BurstDuration float64 // seconds of a burst, one in every ten times as long
+	Tenants       []string
+	Timeout       float64 // seconds that the client states and waits
+	Impatient     float64 // fraction that leaves after a tenth of the timeout, and retries
+	Retries       int     // after a shed answer
+	Seed          uint64
+	Trace         []Arrival // replayed instead of a drawn load; nil for none
+	Body          string    // empty for a default
+	Most          int       // concurrent requests; arrivals beyond it are counted as not sent; 0 for a default
+	Progress      io.Writer // a progress line each second; may be nil
 }
 
 // LoadResult is what came of a load. Latencies are in seconds from the intended time.
 type LoadResult struct {
-	Asked    int            `json:"asked"`
-	Answers  map[string]int `json:"answers"`  // of last attempts: the dispatcher's answers, left, refused, error
-	NotSent  int            `json:"not_sent"` // the generator itself had too many in flight
-	Tries    int            `json:"tries"`
-	Seconds  float64        `json:"seconds"`
-	Returned Latency        `json:"returned"`
-	All      Latency        `json:"all"`
-	Late     float64        `json:"worst_send_s"` // worst delay of a first attempt after its intended time
+	Asked        int            `json:"asked"`
+	Answers      map[string]int `json:"answers"`  // of last attempts: the dispatcher's answers, left, refused, error
+	NotSent      int            `json:"not_sent"` // the generator itself had too many in flight
+	Attempts     int            `json:"tries"`
+	Seconds      float64        `json:"seconds"`
+	Returned     Latency        `json:"returned"`
+	All          Latency        `json:"all"`
+	MaxSendDelay float64        `json:"worst_send_s"` // worst delay of a first attempt after its intended time
 
 	returned *hdrhistogram.Histogram // microseconds
 }
@@ -100,7 +100,7 @@
 	if err != nil || !address.Addr().IsLoopback() || u.Scheme != "http" {
 		return fmt.Errorf("%s: write http://ADDRESS:PORT with a loopback address", o.URL)
 	}
-	if o.Trace == nil && (len(o.Models) == 0 || !(o.Rate > 0) || !(o.Seconds > 0)) {
+	if o.Trace == nil && (len(o.Models) == 0 || !(o.Rate > 0) || !(o.Duration > 0)) {
 		return ErrNoLoad
 	}
 	if o.Most <= 0 {
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// Load puts a load on a gateway on loopback. It ends early when ctx does; what was measured by then is returned with the
+// GenerateLoad puts a load on a gateway on loopback. It ends early when ctx does; what was measured by then is returned with the
 // context's error.
-func Load(ctx context.Context, o LoadOptions) (*LoadResult, error) {
+func GenerateLoad(ctx context.Context, o LoadOptions) (*LoadResult, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 		result: &LoadResult{Answers: map[string]int{}, returned: newLatencyHistogram()}}
 	defer r.client.CloseIdleConnections()
 	done := make(chan struct{})
-	if o.Say != nil {
+	if o.Progress != nil {
 		go r.reportProgress(done)
 	}
 	r.play(ctx)
@@ -187,7 +187,7 @@
 		return false
 	}
 	r.inFlight++
-	r.result.Late = math.Max(r.result.Late, time.Since(r.intendedTime(a)).Seconds())
+	r.result.MaxSendDelay = math.Max(r.result.MaxSendDelay, time.Since(r.intendedTime(a)).Seconds())
 	return true
 }
 
@@ -198,7 +198,7 @@
 	defer r.mu.Unlock()
 	r.inFlight--
 	r.result.Answers[answer]++
-	r.result.Tries += attempts
+	r.result.Attempts += attempts
 	r.all.RecordValue(latency)
 	if answer == string(AnswerReturned) {
 		r.result.returned.RecordValue(latency)
@@ -216,7 +216,7 @@
 		case <-ticker.C:
 		}
 		r.mu.Lock()
-		fmt.Fprintf(r.options.Say, "%5.0f s  asked %d, in hand %d, returned %d, shed %d, p99 %.1f ms\n", time.Since(r.begin).Seconds(), r.result.Asked, r.inFlight,
+		fmt.Fprintf(r.options.Progress, "%5.0f s  asked %d, in hand %d, returned %d, shed %d, p99 %.1f ms\n", time.Since(r.begin).Seconds(), r.result.Asked, r.inFlight,
 			r.result.Answers[string(AnswerReturned)], r.result.Answers[string(AnswerShed)], 1e3*secondsAt(r.result.returned, 99))
 		r.mu.Unlock()
 	}
--- a/internal/lab/load_arrivals.go
+++ b/internal/lab/load_arrivals.go
@@ -81,7 +81,7 @@
 func (d *loadDrawer) next() (Arrival, bool) {
 	o := d.options
 	d.at += d.rnd.ExpFloat64() / d.rate()
-	if d.at >= o.Seconds {
+	if d.at >= o.Duration {
 		return Arrival{}, false
 	}
 	a := Arrival{At: d.at, Model: d.drawModel()}
@@ -94,7 +94,7 @@
 // rate is the rate of arrivals after the last one.
 func (d *loadDrawer) rate() float64 {
 	o := d.options
-	if o.Burst > 1 && o.BurstOf > 0 && math.Mod(d.at, burstsPeriod*o.BurstOf) < o.BurstOf {
+	if o.Burst > 1 && o.BurstDuration > 0 && math.Mod(d.at, burstsPeriod*o.BurstDuration) < o.BurstDuration {
 		return o.Rate * o.Burst
 	}
 	return o.Rate
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -206,8 +206,8 @@
 </div>{{end}}</html>
 `))
 
-// PlotRows writes a plot of service by variant, with the intervals of the differences, to a .svg or .png file.
-func PlotRows(file string, rows []VariantResult) error {
+// PlotResults writes a plot of service by variant, with the intervals of the differences, to a .svg or .png file.
+func PlotResults(file string, rows []VariantResult) error {
 	if extension := filepath.Ext(file); extension != ".svg" && extension != ".png" {
 		return fmt.Errorf("%s: write a name that ends in .svg or .png", file)
 	}
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -19,7 +19,7 @@
 
 // startProcess starts mastchute with arguments. The process is killed if this one ends first.
 func (o *Options) startProcess(stdout, stderr io.Writer, args ...string) (*process, error) {
-	cmd := exec.Command(o.Self[0], slices.Concat(o.Self[1:], args)...)
+	cmd := exec.Command(o.Command[0], slices.Concat(o.Command[1:], args)...)
 	cmd.Env = append(os.Environ(), o.Env...)
 	cmd.Stdout = stdout
 	cmd.Stderr = stderr
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -75,8 +75,8 @@
 	r.Workers = workerReports(s, e)
 	r.fillGroups(s, e)
 	secondHalf := math.Inf(1)
-	if len(e.Tries) > 0 {
-		secondHalf = e.Tries[0].SentAt + s.Length.Seconds/2
+	if len(e.ClientAttempts) > 0 {
+		secondHalf = e.ClientAttempts[0].SentAt + s.Length.Seconds/2
 	}
 	r.fillWorkerCounts(e, secondHalf)
 }
@@ -115,8 +115,8 @@
 		report := reports[g.Name]
 		report.P50 = secondsAt(latencies[g.Name], 50)
 		report.P99 = secondsAt(latencies[g.Name], 99)
-		returned += valueOf(g.Value) * float64(report.InSLO)
-		asked += valueOf(g.Value) * float64(report.Asked)
+		returned += valueOf(g.PriorityWeight) * float64(report.InSLO)
+		asked += valueOf(g.PriorityWeight) * float64(report.Asked)
 		r.Groups = append(r.Groups, *report)
 	}
 	if asked > 0 {
@@ -135,7 +135,7 @@
 // countAttempts counts attempts by model group, and returns the calls they belong to.
 func countAttempts(e *Evidence, reports map[string]*GroupReport) map[string]*callResult {
 	calls := map[string]*callResult{}
-	for _, a := range e.Tries {
+	for _, a := range e.ClientAttempts {
 		report := reports[a.Group]
 		call := calls[a.Key]
 		if call == nil {
@@ -196,11 +196,11 @@
 	}
 }
 
-// Broken reports whether a rule was broken.
-func (r *Report) Broken() bool { return len(brokenRules(r)) > 0 }
+// HasViolations reports whether a rule was broken.
+func (r *Report) HasViolations() bool { return len(brokenRules(r)) > 0 }
 
-// Write prints the report for people: a line for each rule, then the model groups, then the sums.
-func (r *Report) Write(out io.Writer) {
+// WriteText prints the report for people: a line for each rule, then the model groups, then the sums.
+func (r *Report) WriteText(out io.Writer) {
 	if r.Partial {
 		fmt.Fprintln(out, "interrupted: what follows is partial")
 	}
@@ -225,11 +225,11 @@
 		nearest = fmt.Sprintf("; %.0f%% of the limit at the nearest", 100*f.Nearest)
 	}
 	fmt.Fprintf(out, "rule %d  %-9s  %5d tests  %s%s\n", f.Rule, f.Verdict(), f.Tests, f.Name, nearest)
-	for _, violation := range f.Breaks {
+	for _, violation := range f.Examples {
 		fmt.Fprintf(out, "        %s\n", violation)
 	}
-	if f.Broken > len(f.Breaks) {
-		fmt.Fprintf(out, "        and %d more\n", f.Broken-len(f.Breaks))
+	if f.Violations > len(f.Examples) {
+		fmt.Fprintf(out, "        and %d more\n", f.Violations-len(f.Examples))
 	}
 }
 
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -21,10 +21,10 @@
 
 // Options select how a scenario is played over sockets.
 type Options struct {
-	Self []string  // command line of mastchute, for the processes of the run
-	Env  []string  // added to their environment
-	Dir  string    // for settings, logs and records; empty for a temporary one
-	Say  io.Writer // progress; may be nil
+	Command  []string  // command line of mastchute, for the processes of the run
+	Env      []string  // added to their environment
+	Dir      string    // for settings, logs and records; empty for a temporary one
+	Progress io.Writer // progress; may be nil
 }
 
 const (
@@ -40,7 +40,7 @@
 	options     Options
 	ctx         context.Context // of the whole run
 	emulator    *process
-	addresses   Announce
+	addresses   EmulatorAddresses
 	dispatchers []*dispatcherProcess
 	begin       time.Time
 	incidents   sync.WaitGroup
@@ -63,15 +63,15 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	if o.Say == nil {
-		o.Say = io.Discard
+	if o.Progress == nil {
+		o.Progress = io.Discard
 	}
 	r := &run{scenario: s, options: o, ctx: ctx, workerStates: map[string]string{}}
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, nil, err
 	}
-	fmt.Fprintf(o.Say, "%s: %d dispatchers, %d workers, %g inferences a second for %gs\n", s.Name, s.Dispatchers,
+	fmt.Fprintf(o.Progress, "%s: %d dispatchers, %d workers, %g inferences a second for %gs\n", s.Name, s.Dispatchers,
 		s.Fleet.Workers, s.Clients.Rate, s.Length.Seconds)
 	generator := &loadGenerator{scenario: s}
 	for _, d := range r.dispatchers {
@@ -94,7 +94,7 @@
 	e := newEvidence(r.scenario)
 	e.StateChanges = r.stateChanges
 	e.Outages = r.outages
-	e.Tries = generator.clientAttempts()
+	e.ClientAttempts = generator.clientAttempts()
 	sort.SliceStable(e.StateChanges, func(i, j int) bool { return e.StateChanges[i].NotifiedAt < e.StateChanges[j].NotifiedAt })
 	var err error
 	e.Records, err = readRecords(r.path(recordsFile))
@@ -152,7 +152,7 @@
 }
 
 func (r *run) progress(format string, args ...any) {
-	fmt.Fprintf(r.options.Say, "%7.2f s  %s\n", time.Since(r.begin).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(r.options.Progress, "%7.2f s  %s\n", time.Since(r.begin).Seconds(), fmt.Sprintf(format, args...))
 }
 
 func (r *run) addError(err error) {
@@ -168,7 +168,7 @@
 
 func (r *run) injectFault(f Fault) {
 	r.progress("trouble %s at %s", f.Kind, f.Worker)
-	if err := postJSON("http://"+r.addresses.Control+"/fault", f.emulatorFault()); err != nil {
+	if err := postJSON("http://"+r.addresses.FaultAddr+"/fault", f.emulatorFault()); err != nil {
 		r.addError(fmt.Errorf("inject fault %s: %w", f.Kind, err))
 	}
 }
--- a/internal/lab/run_start.go
+++ b/internal/lab/run_start.go
@@ -12,14 +12,14 @@
 	"mastchute/internal/config"
 )
 
-// Announce is the line that the worker emulator prints once it listens.
-type Announce struct {
-	Workers []WorkerAt `json:"workers"`
-	Control string     `json:"control"` // accepts faults
+// EmulatorAddresses is the line that the worker emulator prints once it listens.
+type EmulatorAddresses struct {
+	Workers   []WorkerAddress `json:"workers"`
+	FaultAddr string          `json:"control"` // accepts faults
 }
 
-// WorkerAt is the address of an emulated worker.
-type WorkerAt struct {
+// WorkerAddress is the address of an emulated worker.
+type WorkerAddress struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -145,8 +145,8 @@
 	stateGone     = "gone"
 )
 
-// LoadDay reads and checks a scenario file; see ParseScenario.
-func LoadDay(file string, clock Clock) (*Scenario, error) {
+// LoadScenario reads and checks a scenario file; see ParseScenario.
+func LoadScenario(file string, clock Clock) (*Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -171,9 +171,9 @@
 // decodeScenario reads a scenario as it is written, without checking its values.
 func decodeScenario(file string, text []byte) (*Scenario, *config.Source, error) {
 	s := &Scenario{Seed: 1, Size: 1, Dispatchers: 1, Settings: config.Default(),
-		Fleet: Fleet{Zones: 1, Cores: 4, Speed: 1, Memory: config.B(2e9), Queue: 64, Loads: 4, Disk: true, StopsCancelled: true,
+		Fleet: Fleet{Zones: 1, Cores: 4, Speed: 1, Memory: config.Bytes(2e9), Queue: 64, Loads: 4, Disk: true, StopsCancelled: true,
 			StoreSlots: 4, StoreLimit: 24},
-		Network: Network{Delay: config.S(0.0001), Jitter: config.S(0.0001)}}
+		Network: Network{Delay: config.Seconds(0.0001), Jitter: config.Seconds(0.0001)}}
 	source, err := config.Decode(file, text, s)
 	if err != nil {
 		return nil, nil, err
--- a/internal/lab/scenario_check.go
+++ b/internal/lab/scenario_check.go
@@ -38,7 +38,7 @@
 	s.scale(s.Size)
 	c.checkSizes()
 	if s.Fleet.Keep.Seconds == 0 {
-		s.Fleet.Keep = s.Settings.Loads.Keep
+		s.Fleet.Keep = s.Settings.Loads.KeepAlive
 	}
 	c.checkModels()
 	s.Settings.Dispatchers = s.Dispatchers
@@ -61,23 +61,23 @@
 
 func (c *scenarioChecker) between(path string, value, low, high float64) {
 	if !(value >= low && value <= high) { // also for NaN
-		c.At("$."+path, "%g is out of range: write %g to %g", value, low, high)
+		c.AddProblem("$."+path, "%g is out of range: write %g to %g", value, low, high)
 	}
 }
 
 func (c *scenarioChecker) checkSpan(path string, at, duration float64) {
 	if !(at >= 0 && at < c.length) {
-		c.At("$."+path+".at", "%gs is not within the day of %gs", at, c.length)
+		c.AddProblem("$."+path+".at", "%gs is not within the day of %gs", at, c.length)
 	}
 	if duration < 0 || at+duration > c.length+maxLength {
-		c.At("$."+path+".for", "%gs is out of range", duration)
+		c.AddProblem("$."+path+".for", "%gs is out of range", duration)
 	}
 }
 
 // checkWorker checks the name of a worker; patterns and the empty name are valid.
 func (c *scenarioChecker) checkWorker(path, name string) {
 	if name != "" && !slices.Contains(c.scenario.workerNames(), name) && !strings.ContainsAny(name, "*?[") {
-		c.At("$."+path, "%q is no worker of this day: write w1 to w%d", name, c.scenario.Fleet.Workers)
+		c.AddProblem("$."+path, "%q is no worker of this day: write w1 to w%d", name, c.scenario.Fleet.Workers)
 	}
 }
 
@@ -102,7 +102,7 @@
 	s := c.scenario
 	groups := s.groups()
 	if len(s.Models) == 0 {
-		c.At("$.models", "there is none: write name, group, work and share of some")
+		c.AddProblem("$.models", "there is none: write name, group, work and share of some")
 	}
 	s.Settings.Models = nil
 	for i := range s.Models {
@@ -119,13 +119,13 @@
 		c.between(path+"share", m.Share, 0, 1e6)
 		c.between(path+"zipf", m.Zipf, 0, 10)
 		if _, ok := groups[m.Group]; !ok {
-			c.At("$."+path+"group", "%q is no model group of settings.groups", m.Group)
+			c.AddProblem("$."+path+"group", "%q is no model group of settings.groups", m.Group)
 		}
 		if m.Memory.Bytes > s.Fleet.Memory.Bytes {
-			c.At("$."+path+"memory", "no worker can hold one copy")
+			c.AddProblem("$."+path+"memory", "no worker can hold one copy")
 		}
 		s.Settings.Models = append(s.Settings.Models, config.Model{Name: m.Name + "-*", Group: m.Group, Memory: m.Memory,
-			Lanes: float64(m.Lanes), Load: config.S(m.Fetch.Seconds + m.Boot.Seconds)})
+			Concurrency: float64(m.Lanes), LoadTime: config.Seconds(m.Fetch.Seconds + m.Boot.Seconds)})
 	}
 }
 
@@ -147,8 +147,8 @@
 		path := fmt.Sprintf("troubles[%d]", i)
 		c.checkSpan(path, f.At.Seconds, f.For.Seconds)
 		c.checkWorker(path+".worker", f.Worker)
-		if _, ok := emulator.Kinds[f.Kind]; !ok {
-			c.At("$."+path+".kind", "%q is not known: write %s", f.Kind, strings.Join(emulator.FaultNames(), ", "))
+		if _, ok := emulator.FaultDescriptions[f.Kind]; !ok {
+			c.AddProblem("$."+path+".kind", "%q is not known: write %s", f.Kind, strings.Join(emulator.FaultNames(), ", "))
 		}
 		c.between(path+".share", f.Share, 0, 1)
 		c.between(path+".factor", f.Factor, 0, 1000)
@@ -160,7 +160,7 @@
 		path := fmt.Sprintf("kills[%d]", i)
 		c.checkSpan(path, kill.At.Seconds, kill.Down.Seconds)
 		if kill.Dispatcher < 0 || kill.Dispatcher >= c.scenario.Dispatchers {
-			c.At("$."+path+".dispatcher", "there is no dispatcher %d: write 0 to %d", kill.Dispatcher, c.scenario.Dispatchers-1)
+			c.AddProblem("$."+path+".dispatcher", "there is no dispatcher %d: write 0 to %d", kill.Dispatcher, c.scenario.Dispatchers-1)
 		}
 	}
 }
@@ -173,13 +173,13 @@
 		c.checkSpan(path, d.At.Seconds, d.For.Seconds)
 		c.checkWorker(path+".worker", d.Worker)
 		if d.Worker == "" {
-			c.At("$."+path+".worker", "is missing")
+			c.AddProblem("$."+path+".worker", "is missing")
 		}
 		if d.State == "" {
 			d.State = stateDraining
 		}
 		if d.State != stateDraining && d.State != stateGone {
-			c.At("$."+path+".state", "%q is not known: write draining, gone", d.State)
+			c.AddProblem("$."+path+".state", "%q is not known: write draining, gone", d.State)
 		}
 	}
 	for i, stale := range c.scenario.StaleLists {
@@ -195,10 +195,10 @@
 		c.between(path+".factor", b.Factor, 0, 100)
 	}
 	if peak := clients.Rate * c.scenario.peakFactor(); peak > c.limits.rate {
-		c.At("$.clients.bursts", "%g inferences a second at the peak are more than one machine plays: %g at most", peak, c.limits.rate)
+		c.AddProblem("$.clients.bursts", "%g inferences a second at the peak are more than one machine plays: %g at most", peak, c.limits.rate)
 	}
 	if requests := clients.Rate * c.length; requests > c.limits.requests {
-		c.At("$.length", "%g inferences in all are more than one machine keeps: %g at most", requests, c.limits.requests)
+		c.AddProblem("$.length", "%g inferences in all are more than one machine keeps: %g at most", requests, c.limits.requests)
 	}
 }
 
--- a/internal/lab/scenario_expand.go
+++ b/internal/lab/scenario_expand.go
@@ -46,8 +46,8 @@
 		if endAt >= s.Length.Seconds {
 			return
 		}
-		s.Drains = append(s.Drains, Drain{At: config.S(drainAt), For: config.S(r.Drain.Seconds + r.Down.Seconds), Worker: worker, State: stateDraining})
-		s.Faults = append(s.Faults, Fault{At: config.S(endAt), For: r.Down, Kind: emulator.FaultVanish, Worker: worker})
+		s.Drains = append(s.Drains, Drain{At: config.Seconds(drainAt), For: config.Seconds(r.Drain.Seconds + r.Down.Seconds), Worker: worker, State: stateDraining})
+		s.Faults = append(s.Faults, Fault{At: config.Seconds(endAt), For: r.Down, Kind: emulator.FaultVanish, Worker: worker})
 		s.releaseSteps++
 	}
 }
@@ -84,16 +84,16 @@
 	spec := emulator.Spec{Seed: s.Seed, Store: emulator.StoreSpec{Slots: fleet.StoreSlots, Limit: fleet.StoreLimit}}
 	for i, name := range s.workerNames() {
 		spec.Workers = append(spec.Workers, emulator.WorkerSpec{Name: name, Zone: fmt.Sprintf("z%d", i%fleet.Zones+1), Cores: fleet.Cores,
-			Speed: fleet.Speed, MemoryMB: fleet.Memory.MB(), Queue: fleet.Queue, Loads: fleet.Loads,
-			OnMiss: emulator.MissPolicy(s.Settings.Loads.OnMiss), Keep: fleet.Keep.Seconds, Disk: fleet.Disk,
-			StopsCancelled: fleet.StopsCancelled, ColdShare: rules.ColdShare, WarmAfter: rules.WarmAfter.Seconds,
-			Overload: rules.OverloadFactor, Fall: rules.Fall.Seconds})
+			Speed: fleet.Speed, MemoryMB: fleet.Memory.MB(), QueueLimit: fleet.Queue, ConcurrentLoads: fleet.Loads,
+			OnMiss: emulator.MissPolicy(s.Settings.Loads.OnMiss), IdleTimeout: fleet.Keep.Seconds, CachesImages: fleet.Disk,
+			StopsCancelled: fleet.StopsCancelled, SlowStartCapacity: rules.SlowStartCapacity, SlowStartDuration: rules.SlowStartDuration.Seconds,
+			OverloadFactor: rules.OverloadFactor, OverloadWindow: rules.OverloadWindow.Seconds})
 	}
 	for _, m := range s.Models {
 		group := groups[m.Group]
-		spec.Models = append(spec.Models, emulator.ModelSpec{Name: m.Name + "-*", Group: m.Group, MemoryMB: m.Memory.MB(), Lanes: m.Lanes,
-			Work: m.Work.Seconds, Fetch: m.Fetch.Seconds, Boot: m.Boot.Seconds, Deduped: group.Effect == effectDeduped,
-			DedupWindow: group.Window.Seconds, DedupScope: emulator.DedupScope(group.Scope), ResponseBytes: int(m.Answer.Bytes)})
+		spec.Models = append(spec.Models, emulator.ModelSpec{Name: m.Name + "-*", Group: m.Group, MemoryMB: m.Memory.MB(), Concurrency: m.Lanes,
+			MeanWork: m.Work.Seconds, FetchTime: m.Fetch.Seconds, BootTime: m.Boot.Seconds, Deduped: group.Effect == effectDeduped,
+			DedupWindow: group.DedupWindow.Seconds, DedupScope: emulator.DedupScope(group.DedupScope), ResponseBytes: int(m.Answer.Bytes)})
 	}
 	return spec
 }
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -48,13 +48,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, report, err := lab.Play(context.Background(), scenario, lab.Options{Self: []string{self}, Env: []string{clitest.Env}, Dir: t.TempDir()})
+	_, report, err := lab.Play(context.Background(), scenario, lab.Options{Command: []string{self}, Env: []string{clitest.Env}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	report.Write(&out)
-	if report.Broken() || len(report.Guards) > 0 {
+	report.WriteText(&out)
+	if report.HasViolations() || len(report.Guards) > 0 {
 		t.Errorf("\n%s", out.String())
 	}
 	for _, finding := range report.Findings {
@@ -79,7 +79,7 @@
 		t.Errorf("%d scenarios", len(files))
 	}
 	for _, file := range files {
-		if _, err := lab.LoadDay(file, lab.Simulated); err != nil {
+		if _, err := lab.LoadScenario(file, lab.Simulated); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/lab/sim_actions.go
+++ b/internal/lab/sim_actions.go
@@ -124,17 +124,17 @@
 // SendPeerMessage implements control.Actions. Simulated dispatchers have no peers, as those of a run over sockets.
 func (d *simDispatcher) SendPeerMessage(control.PeerID, []byte) { d.sim.guards["note_dropped"]++ }
 
-// SubscribeWorkerList implements control.Actions.
-func (d *simDispatcher) SubscribeWorkerList(subscribe bool) {
+// SubscribeEndpointList implements control.Actions.
+func (d *simDispatcher) SubscribeEndpointList(subscribe bool) {
 	wasSubscribed := d.subscribed
 	d.subscribed = subscribe
 	if subscribe && !wasSubscribed {
-		d.FetchWorkerList()
+		d.FetchEndpointList()
 	}
 }
 
-// FetchWorkerList implements control.Actions.
-func (d *simDispatcher) FetchWorkerList() {
+// FetchEndpointList implements control.Actions.
+func (d *simDispatcher) FetchEndpointList() {
 	d.later(0, func() {
 		d.event(func() { d.sendWorkerList(control.ListSnapshot) })
 	})
--- a/internal/lab/sim_clients.go
+++ b/internal/lab/sim_clients.go
@@ -108,7 +108,7 @@
 func (a *simClientAttempt) end(retryAfter float64) {
 	s := a.sim
 	a.ended = true
-	s.evidence.Tries = append(s.evidence.Tries, *a.ClientAttempt)
+	s.evidence.ClientAttempts = append(s.evidence.ClientAttempts, *a.ClientAttempt)
 	delay, retries := a.call.retryDelay(a.ClientAttempt, retryAfter)
 	if !retries {
 		s.openCalls--
--- a/internal/lab/sim_dispatcher.go
+++ b/internal/lab/sim_dispatcher.go
@@ -93,7 +93,7 @@
 	settings := s.scenario.Settings
 	settings.Name = d.name
 	d.module = d.newModule(s.scenario.dispatcherSeed(d.index), settings.Settings(), d)
-	d.event(func() { d.loadMembers(settings.Roster.Discovery) })
+	d.event(func() { d.loadMembers(settings.Discovery.Mode) })
 }
 
 // loadMembers fills the worker list from the configuration and passes it to the decisions.
@@ -176,7 +176,7 @@
 }
 
 // sendWorkerList passes the complete worker list to the decisions.
-func (d *simDispatcher) sendWorkerList(kind control.WorkerListKind) {
+func (d *simDispatcher) sendWorkerList(kind control.EndpointListKind) {
 	d.module.UpdateWorkers(kind, d.members.Version, advertised(d.members.All()))
 }
 
--- a/internal/lab/sim_requests.go
+++ b/internal/lab/sim_requests.go
@@ -58,7 +58,7 @@
 	d.ordered = append(d.ordered, r)
 	d.open++
 	arrived := control.Request{ID: r.id, Model: m.id, Group: m.groupID, Tenant: s.tenantID(c.tenant), MemoryMB: m.config.Memory.MB(),
-		Concurrency: m.config.Lanes, LoadTimeHint: m.config.Load.Seconds, Deadline: s.now + a.Timeout - d.startedAt, ClientRetry: a.Number > 0}
+		Concurrency: m.config.Concurrency, LoadTimeHint: m.config.LoadTime.Seconds, Deadline: s.now + a.Timeout - d.startedAt, ClientRetry: a.Number > 0}
 	incarnation := d.incarnation
 	s.at(r.deadline, func() {
 		if d.incarnation == incarnation {
--- a/internal/lab/sim_workers.go
+++ b/internal/lab/sim_workers.go
@@ -118,7 +118,7 @@
 func (s *simulation) loadReport(worker int) []float64 {
 	inFlight, queued := s.fleet.LoadReport(worker)
 	var report []float64
-	for _, field := range s.scenario.Settings.Report {
+	for _, field := range s.scenario.Settings.LoadReportFields {
 		switch field {
 		case "inflight":
 			report = append(report, inFlight)
@@ -132,7 +132,7 @@
 }
 
 var modelStates = map[emulator.ModelState]control.ModelState{
-	emulator.ModelWarm:   control.ModelWarm,
+	emulator.ModelWarm:   control.ModelLoaded,
 	emulator.LoadStarted: control.LoadStarted,
 	emulator.LoadAwaited: control.LoadAwaited,
 }
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -149,7 +149,7 @@
 		}
 		if s.now >= reportedAt+length/progressesPerRun {
 			reportedAt = s.now
-			fmt.Fprintf(progress, "%7.2f s  %d tries, %d forwards and loads\n", s.now, len(s.evidence.Tries), len(s.evidence.Records))
+			fmt.Fprintf(progress, "%7.2f s  %d tries, %d forwards and loads\n", s.now, len(s.evidence.ClientAttempts), len(s.evidence.Records))
 		}
 	}
 }
--- a/internal/lab/simulation_test.go
+++ b/internal/lab/simulation_test.go
@@ -25,10 +25,10 @@
 	play := func(procs int, seed uint64) string {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(procs))
 		e, report := simulate(t, text, seed)
-		if report.Broken() || report.Served < 1000 {
+		if report.HasViolations() || report.Served < 1000 {
 			t.Errorf("seed %d: served %d, rules %+v", seed, report.Served, report.Findings)
 		}
-		bytes, _ := json.Marshal([]any{e.Tries, e.Records, e.StateChanges, e.Outages, report})
+		bytes, _ := json.Marshal([]any{e.ClientAttempts, e.Records, e.StateChanges, e.Outages, report})
 		return string(bytes)
 	}
 	first, again, otherSeed := play(1, 7), play(4, 7), play(4, 8)
--- a/internal/lab/timeline.go
+++ b/internal/lab/timeline.go
@@ -41,7 +41,7 @@
 
 // newTimeline divides a scenario into buckets.
 func newTimeline(s *Scenario, e *Evidence) []TimelineBucket {
-	if len(e.Tries) == 0 {
+	if len(e.ClientAttempts) == 0 {
 		return nil
 	}
 	b := newTimelineBuilder(s, e)
@@ -78,7 +78,7 @@
 func newTimelineBuilder(s *Scenario, e *Evidence) *timelineBuilder {
 	b := &timelineBuilder{begin: math.Inf(1), width: s.Length.Seconds / timelineBuckets, buckets: make([]bucketBuilder, timelineBuckets),
 		wanted: map[string]bool{}, arrivedAt: map[workerAttemptID]float64{}, startedAt: map[workerAttemptID]float64{}}
-	for _, a := range e.Tries {
+	for _, a := range e.ClientAttempts {
 		b.begin = math.Min(b.begin, a.SentAt)
 	}
 	for i := range b.buckets {
@@ -110,8 +110,8 @@
 
 func callEndsByKey(e *Evidence) map[string]*callEnds {
 	calls := map[string]*callEnds{}
-	for i := range e.Tries {
-		a := &e.Tries[i]
+	for i := range e.ClientAttempts {
+		a := &e.ClientAttempts[i]
 		call := calls[a.Key]
 		if call == nil {
 			call = &callEnds{first: a, last: a}
@@ -132,11 +132,11 @@
 func (b *timelineBuilder) addCalls(s *Scenario, e *Evidence) {
 	groups := s.groups()
 	calls := callEndsByKey(e)
-	for i := range e.Tries {
-		call := calls[e.Tries[i].Key]
-		if call.last == &e.Tries[i] {
+	for i := range e.ClientAttempts {
+		call := calls[e.ClientAttempts[i].Key]
+		if call.last == &e.ClientAttempts[i] {
 			group := groups[call.first.Group]
-			b.addCall(call, valueOf(group.Value), group.SLO.Seconds)
+			b.addCall(call, valueOf(group.PriorityWeight), group.SLO.Seconds)
 		}
 	}
 }
--- a/internal/lab/variants.go
+++ b/internal/lab/variants.go
@@ -13,9 +13,9 @@
 	Text []byte
 }
 
-// Vary returns a variant of a scenario for each combination of values. A key is a path like fleet.workers or
+// MakeVariants returns a variant of a scenario for each combination of values. A key is a path like fleet.workers or
 // settings.groups[0].slo; values are written as YAML.
-func Vary(text []byte, keys []string, values [][]string) ([]Variant, error) {
+func MakeVariants(text []byte, keys []string, values [][]string) ([]Variant, error) {
 	variants := []Variant{{Text: text}}
 	for i, key := range keys {
 		var next []Variant
--- a/internal/lifecycle/backoff.go
+++ b/internal/lifecycle/backoff.go
@@ -13,20 +13,20 @@
 	maxDelay   = 0.25 // s: a start or reload succeeds at most so long after it could
 )
 
-// Retry is an exponential backoff that ends after a span. The zero value has no retries left. It is not safe for
+// Backoff is an exponential backoff that ends after a span. The zero value has no retries left. It is not safe for
 // concurrent use.
-type Retry struct {
+type Backoff struct {
 	end   time.Time
 	delay float64 // s, the latest one; 0 before the first
 }
 
-// NewRetry returns a backoff whose retries end span seconds after now.
-func NewRetry(now time.Time, span float64) Retry {
-	return Retry{end: now.Add(seconds(span))}
+// NewBackoff returns a backoff whose retries end span seconds after now.
+func NewBackoff(now time.Time, span float64) Backoff {
+	return Backoff{end: now.Add(seconds(span))}
 }
 
 // Next returns the delay before the next retry. It returns false if the span has passed.
-func (b *Retry) Next(now time.Time) (time.Duration, bool) {
+func (b *Backoff) Next(now time.Time) (time.Duration, bool) {
 	if !now.Before(b.end) {
 		return 0, false
 	}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -24,7 +24,7 @@
 
 func TestRetryEnds(t *testing.T) {
 	now := time.Now()
-	backoff := NewRetry(now, 1)
+	backoff := NewBackoff(now, 1)
 	retries := 0
 	for ; retries < 100; retries++ {
 		delay, ok := backoff.Next(now)
@@ -36,7 +36,7 @@
 	if retries < 5 || retries > 15 {
 		t.Errorf("%d retries in a second, want 5 to 15", retries)
 	}
-	if _, ok := (&Retry{}).Next(now); ok {
+	if _, ok := (&Backoff{}).Next(now); ok {
 		t.Error("the zero value has a retry")
 	}
 }
@@ -93,7 +93,7 @@
 			RelogAfterSpan: relog,
 		}
 		r.Start()
-		r.backoff = Retry{} // the span has passed
+		r.backoff = Backoff{} // the span has passed
 		r.Retry()
 		if r.RetryDue != nil {
 			t.Errorf("a retry is due after the span, relog %v", relog)
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -17,13 +17,13 @@
 	// RetryDue receives when Retry is to be called; it is nil while no retry is due.
 	RetryDue <-chan time.Time
 
-	backoff     Retry
+	backoff     Backoff
 	lastFailure string // "" after a success
 }
 
 // Start starts a reload, with retries of its own.
 func (r *Reloader) Start() {
-	r.backoff = NewRetry(time.Now(), reloadRetrySpan)
+	r.backoff = NewBackoff(time.Now(), reloadRetrySpan)
 	r.Retry()
 }
 
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -47,9 +47,9 @@
 	ReloadRequested                     // the reload channel received a signal
 )
 
-// Await blocks until the next retry is due, at most maxWait seconds, or until a stop signal or a signal on reload
+// AwaitRetry blocks until the next retry is due, at most maxWait seconds, or until a stop signal or a signal on reload
 // arrives. A nil reload is never received from.
-func (s *Signals) Await(backoff *Retry, maxWait float64, reload <-chan os.Signal) AwaitResult {
+func (s *Signals) AwaitRetry(backoff *Backoff, maxWait float64, reload <-chan os.Signal) AwaitResult {
 	delay, ok := backoff.Next(time.Now())
 	if !ok {
 		return RetriesExhausted
--- a/internal/platform/change_log.go
+++ b/internal/platform/change_log.go
@@ -202,5 +202,5 @@
 // recordSkipped counts and logs what was left out of the change log; the rest of it has been applied.
 func (w *watchClient) recordSkipped(reason string, err error) {
 	w.countFailure(reason)
-	w.gateway.WorkerEntrySkipped(err)
+	w.gateway.EndpointEntrySkipped(err)
 }
--- a/internal/platform/client_capacity.go
+++ b/internal/platform/client_capacity.go
@@ -73,7 +73,7 @@
 
 // clientDescriptors returns how many descriptors clients hold, including those of connections that linger for their last
 // response.
-func (t *clientTransport) clientDescriptors() int { return t.connCount + t.loop.Lingering() }
+func (t *clientTransport) clientDescriptors() int { return t.connCount + t.loop.LingeringCount() }
 
 // openConns returns the number of connections to clients and workers.
 func (t *clientTransport) openConns() int { return t.connCount + len(t.workers.conns) }
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -159,7 +159,7 @@
 	transport := c.transport
 	c.closed = true
 	transport.gateway.RecordEvent("client_closed", reason, nil, nil, float64(c.requestCount))
-	transport.loop.Cancel(&c.timer)
+	transport.loop.CancelTimer(&c.timer)
 	if c.next != nil {
 		c.unlink()
 		transport.connCount--
@@ -185,15 +185,15 @@
 	case partial:
 		if !c.partialMessage || !c.timer.Pending() {
 			c.partialMessage = true
-			c.pausesAtStart = c.conn.ReadPauses()
-			loop.Start(&c.timer, partialMessageTimeout)
+			c.pausesAtStart = c.conn.BackoffCount()
+			loop.StartTimer(&c.timer, partialMessageTimeout)
 		}
 	case c.requestCount > 0:
 		c.partialMessage = false
-		loop.Cancel(&c.timer)
+		loop.CancelTimer(&c.timer)
 	default:
 		c.partialMessage = false
-		loop.Start(&c.timer, clientIdleTimeout)
+		loop.StartTimer(&c.timer, clientIdleTimeout)
 	}
 }
 
@@ -212,7 +212,7 @@
 		return
 	}
 	switch {
-	case c.partialMessage && c.conn.ReadPauses() != pausesAtStart: // reads failed on this machine: the client is not at fault
+	case c.partialMessage && c.conn.BackoffCount() != pausesAtStart: // reads failed on this machine: the client is not at fault
 		c.resetTimer(true)
 	case c.partialMessage && rules.CheckClose(c.requestCount) != rules.Allowed:
 		c.stalled = true // closed by onRequestReleased after the last response
--- a/internal/platform/client_messages.go
+++ b/internal/platform/client_messages.go
@@ -204,5 +204,5 @@
 		Deadline:     receivedAt + message.Timeout,
 		ClientRetry:  message.ClientRetry,
 	})
-	request.gatewayRequest.SetTrace(id)
+	request.gatewayRequest.SetTraceID(id)
 }
--- a/internal/platform/client_transport.go
+++ b/internal/platform/client_transport.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	transport.listener.Room = transport.hasCapacity
+	transport.listener.AdmitConnection = transport.hasCapacity
 	transport.loop.OnDescriptorShortage = transport.freeDescriptor
 	return transport, nil
 }
@@ -89,7 +89,7 @@
 // ConnectionCount implements gateway.ClientTransport. While the listener is draining it counts one more, for the
 // connections that may be waiting in the backlog.
 func (t *clientTransport) ConnectionCount() int {
-	if t.listener.Draining() {
+	if t.listener.IsDraining() {
 		return t.connCount + 1
 	}
 	return t.connCount
@@ -117,7 +117,7 @@
 	c.timer.Fire = c.timerExpired
 	t.connCount++
 	c.linkNewest()
-	t.loop.Start(&c.timer, firstMessageTimeout)
+	t.loop.StartTimer(&c.timer, firstMessageTimeout)
 	return c
 }
 
@@ -132,7 +132,7 @@
 // startDrainTimer starts the quiet period anew if the transport is draining and nothing is in flight.
 func (t *clientTransport) startDrainTimer() {
 	if t.draining && len(t.inFlight) == 0 {
-		t.loop.Start(&t.drainTimer, drainQuietPeriod)
+		t.loop.StartTimer(&t.drainTimer, drainQuietPeriod)
 	}
 }
 
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -30,18 +30,18 @@
 		"limits":{"conn_idle_us":0,"connect_timeout_us":125000,"retry_after":true},"family_info":{"order_limit_us":4000000}}`)
 	c := f.gatewayConfig()
 	if want := []config.Group{
-		{Name: "absent", Effect: "non-retriable", SLO: config.S(1), Timeout: config.S(60)},
+		{Name: "absent", Effect: "non-retriable", SLO: config.Seconds(1), Timeout: config.Seconds(60)},
 		{Name: "zero", Effect: "non-retriable"},
-		{Name: "unknown", Effect: "non-retriable", SLO: config.S(1), Timeout: config.S(60)},
-		{Name: "all", Effect: "deduped", Scope: "zone", Window: config.S(2), SLO: config.S(0.25), Timeout: config.S(3)},
+		{Name: "unknown", Effect: "non-retriable", SLO: config.Seconds(1), Timeout: config.Seconds(60)},
+		{Name: "all", Effect: "deduped", DedupScope: "zone", DedupWindow: config.Seconds(2), SLO: config.Seconds(0.25), Timeout: config.Seconds(3)},
 	}; !slices.Equal(c.Groups, want) {
 		t.Errorf("groups %+v, want %+v", c.Groups, want)
 	}
-	if len(c.Tenants) != 2 || c.Tenants[0].Name != "north" || !slices.Equal(c.Report, []string{"queue", ""}) {
-		t.Errorf("tenants %v, report %q", c.Tenants, c.Report)
+	if len(c.Tenants) != 2 || c.Tenants[0].Name != "north" || !slices.Equal(c.LoadReportFields, []string{"queue", ""}) {
+		t.Errorf("tenants %v, report %q", c.Tenants, c.LoadReportFields)
 	}
-	if c.Roster.Discovery != "ask" || c.Limits.ConnectTimeout.Seconds != 0.125 || c.Limits.WorkerIdleTimeout.Seconds != 15 || c.Loads.Timeout.Seconds != 4 {
-		t.Errorf("discovery %s, limits %+v, loads %+v", c.Roster.Discovery, c.Limits, c.Loads)
+	if c.Discovery.Mode != "ask" || c.Limits.ConnectTimeout.Seconds != 0.125 || c.Limits.WorkerIdleTimeout.Seconds != 15 || c.Loads.Timeout.Seconds != 4 {
+		t.Errorf("discovery %s, limits %+v, loads %+v", c.Discovery.Mode, c.Limits, c.Loads)
 	}
 	if f.drainGrace() != 1.5 || f.maxGroupTimeout() != 3 || !f.settings.RetryAfter.Allowed || f.settings.Discovery.Mode != control.DiscoverySubscribe {
 		t.Errorf("drain grace %g, longest timeout %g, settings %+v", f.drainGrace(), f.maxGroupTimeout(), f.settings)
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -66,7 +66,7 @@
 	dispatcher.stopTimer.Fire = func() { dispatcher.Gateway.Stop(dispatcher.answerBy - loop.Now()) }
 	dispatcher.dropLogTimer.Fire = dispatcher.logDrops
 	loop.Defer(func() { dispatcher.watchChangeLog(file) })
-	loop.Defer(func() { loop.Start(&dispatcher.dropLogTimer, dropLogInterval) })
+	loop.Defer(func() { loop.StartTimer(&dispatcher.dropLogTimer, dropLogInterval) })
 	return dispatcher, nil
 }
 
@@ -125,7 +125,7 @@
 	requestedAt := d.Loop.ArrivedAt() // earlier than now if the process was stalled when the signal came
 	plan := lifecycle.PlanStop(stopTimes, d.maxTimeout)
 	d.answerBy = requestedAt + plan.AnswerBy
-	d.Loop.Start(&d.stopTimer, requestedAt+plan.ServeUntil-d.Loop.Now())
+	d.Loop.StartTimer(&d.stopTimer, requestedAt+plan.ServeUntil-d.Loop.Now())
 }
 
 // logDrops logs the counts by reason that have changed since they were logged last.
@@ -142,5 +142,5 @@
 	if changed {
 		event.Msg("rejected or dropped so far, by reason")
 	}
-	d.Loop.Start(&d.dropLogTimer, dropLogInterval)
+	d.Loop.StartTimer(&d.dropLogTimer, dropLogInterval)
 }
--- a/internal/platform/failing_kernel_test.go
+++ b/internal/platform/failing_kernel_test.go
@@ -46,7 +46,7 @@
 		}
 		return nil
 	}
-	k.Short = func(_ faults.Call, _, n int) int {
+	k.MaxBytes = func(_ faults.Call, _, n int) int {
 		if limit := int(k.maxTransfer.Load()); limit > 0 {
 			return limit
 		}
@@ -76,7 +76,7 @@
 // newSteppedClock steps the wall clock by the ns that it returns.
 func newSteppedClock(t *testing.T) *atomic.Int64 {
 	var step atomic.Int64
-	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, Offset: func() time.Duration { return time.Duration(step.Load()) }}
+	syscalls.Default = &faults.Kernel{Kernel: syscalls.Linux{}, ClockOffset: func() time.Duration { return time.Duration(step.Load()) }}
 	t.Cleanup(func() { syscalls.Default = syscalls.Linux{} })
 	return &step
 }
--- a/internal/platform/gateway_config.go
+++ b/internal/platform/gateway_config.go
@@ -19,24 +19,24 @@
 	cfg := config.Default()
 	cfg.Name = f.Name
 	cfg.Log.Sample = 0
-	cfg.Roster.Discovery = f.settings.Discovery.Mode.String()
+	cfg.Discovery.Mode = f.settings.Discovery.Mode.String()
 	for i, group := range f.settings.Groups {
 		cfg.Groups = append(cfg.Groups, config.Group{
-			Name:    f.groupName(i),
-			Effect:  group.Effect.String(),
-			Scope:   group.Scope.String(),
-			Window:  config.S(group.Window),
-			SLO:     config.S(group.SLO.Or(defaultSLO)),
-			Timeout: config.S(group.Timeout.Or(defaultTimeout)),
+			Name:        f.groupName(i),
+			Effect:      group.Effect.String(),
+			DedupScope:  group.Scope.String(),
+			DedupWindow: config.Seconds(group.Window),
+			SLO:         config.Seconds(group.SLO.Or(defaultSLO)),
+			Timeout:     config.Seconds(group.Timeout.Or(defaultTimeout)),
 		})
 	}
 	for i := range f.settings.Tenants {
 		cfg.Tenants = append(cfg.Tenants, config.Tenant{Name: f.settingValues.Text("tenants." + strconv.Itoa(i) + ".name")})
 	}
-	cfg.Report = f.settings.LoadReportFields
-	cfg.Loads.Timeout = config.S(f.positiveOr("models.order_timeout", cfg.Loads.Timeout.Seconds))
+	cfg.LoadReportFields = f.settings.LoadReportFields
+	cfg.Loads.Timeout = config.Seconds(f.positiveOr("models.order_timeout", cfg.Loads.Timeout.Seconds))
 	cfg.Limits.Requests = min(int(f.positiveOr("limits.open_cap", defaultMaxRequests)), f.maxRequestsByMemory())
-	cfg.Limits.ConnectTimeout = config.S(f.positiveOr("limits.connect_timeout", cfg.Limits.ConnectTimeout.Seconds))
-	cfg.Limits.WorkerIdleTimeout = config.S(f.positiveOr("limits.conn_idle", cfg.Limits.WorkerIdleTimeout.Seconds))
+	cfg.Limits.ConnectTimeout = config.Seconds(f.positiveOr("limits.connect_timeout", cfg.Limits.ConnectTimeout.Seconds))
+	cfg.Limits.WorkerIdleTimeout = config.Seconds(f.positiveOr("limits.conn_idle", cfg.Limits.WorkerIdleTimeout.Seconds))
 	return &cfg
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -56,7 +56,7 @@
 		return app.ExitError
 	}
 	limitRuntime(file)
-	log, closeLog := app.Logger(config.Log{Level: "info", Format: "json"}, out)
+	log, closeLog := app.NewLogger(config.Log{Level: "info", Format: "json"}, out)
 	defer closeLog()
 	dispatcher, err := newWithRetry(file, path, log, signals)
 	if errors.Is(err, lifecycle.ErrStopRequested) {
@@ -92,8 +92,8 @@
 // readConfigWithRetry reads the configuration for a start. It retries while the file is half written or cannot be read for
 // a moment, and returns lifecycle.ErrStopRequested after a stop signal.
 func readConfigWithRetry(path string, signals *lifecycle.Signals) (*ConfigFile, error) {
-	transient := lifecycle.NewRetry(time.Now(), transientReadRetrySpan)
-	invalid := lifecycle.NewRetry(time.Now(), invalidReadRetrySpan)
+	transient := lifecycle.NewBackoff(time.Now(), transientReadRetrySpan)
+	invalid := lifecycle.NewBackoff(time.Now(), invalidReadRetrySpan)
 	for {
 		file, err := ReadConfigFile(path)
 		if err == nil || path == "" {
@@ -103,7 +103,7 @@
 		if lifecycle.IsTransient(err) {
 			retry = &transient
 		}
-		switch signals.Await(retry, lifecycle.WholeDelay, nil) {
+		switch signals.AwaitRetry(retry, lifecycle.WholeDelay, nil) {
 		case lifecycle.RetriesExhausted:
 			return nil, err
 		case lifecycle.StopRequested:
@@ -116,13 +116,13 @@
 // about to end, or while the machine lacks a resource. A reload signal meanwhile reads the configuration again; after a
 // stop signal it returns lifecycle.ErrStopRequested.
 func newWithRetry(file *ConfigFile, path string, log zerolog.Logger, signals *lifecycle.Signals) (*Dispatcher, error) {
-	retry := lifecycle.NewRetry(time.Now(), listenRetrySpan)
+	retry := lifecycle.NewBackoff(time.Now(), listenRetrySpan)
 	for {
 		dispatcher, err := New(file, log)
 		if err == nil || !isRetriableStart(err) {
 			return dispatcher, err
 		}
-		switch signals.Await(&retry, maxListenRetryDelay, signals.Reload) {
+		switch signals.AwaitRetry(&retry, maxListenRetryDelay, signals.Reload) {
 		case lifecycle.RetriesExhausted:
 			return nil, err
 		case lifecycle.StopRequested:
--- a/internal/platform/watch_client.go
+++ b/internal/platform/watch_client.go
@@ -98,7 +98,7 @@
 	}
 	w.gateway.RecordEvent("asks_change_log_first", "standstill", nil, nil, duration)
 	w.sendsHeld = true
-	w.loop.Start(&w.holdTimer, maxSendHold)
+	w.loop.StartTimer(&w.holdTimer, maxSendHold)
 	w.call.Cancel()
 	w.poll(0)
 }
@@ -107,7 +107,7 @@
 func (w *watchClient) releaseSends() {
 	if w.sendsHeld {
 		w.sendsHeld = false
-		w.loop.Cancel(&w.holdTimer)
+		w.loop.CancelTimer(&w.holdTimer)
 		w.onRelease()
 	}
 }
@@ -119,7 +119,7 @@
 	w.polling = true
 	w.polledAt = w.loop.Now()
 	w.requestedWait = wait
-	w.loop.Start(&w.timer, wait+w.responseSlack)
+	w.loop.StartTimer(&w.timer, wait+w.responseSlack)
 	w.pool.Do(&w.call, w.request(wait), nil)
 }
 
@@ -149,7 +149,7 @@
 func (w *watchClient) schedulePoll(failed bool) {
 	w.polling = false
 	w.backoff = nextBackoff(w.backoff, failed)
-	w.loop.Start(&w.timer, pollDelay(w.backoff, w.gateway.RandomFloat(), w.loop.Now()-w.polledAt))
+	w.loop.StartTimer(&w.timer, pollDelay(w.backoff, w.gateway.RandomFloat(), w.loop.Now()-w.polledAt))
 }
 
 // ResponseHead implements httpconn.Caller.
@@ -179,7 +179,7 @@
 	} else {
 		w.countFailure(reasonChangeLogFailed)
 		w.gateway.RecordEvent(reasonChangeLogFailed, closeReason(err), nil, nil, float64(w.lastSeq))
-		w.gateway.WorkerListFailed(err)
+		w.gateway.EndpointListFailed(err)
 	}
 	w.releaseSends()
 	w.schedulePoll(err != nil)
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -97,15 +97,15 @@
 	case c.closed || !c.established:
 	case c.partialResponse:
 		if !c.timer.Pending() {
-			c.pausesAtStart = c.conn.ReadPauses()
-			pool.loop.Start(&c.timer, partialResponseTimeout)
+			c.pausesAtStart = c.conn.BackoffCount()
+			pool.loop.StartTimer(&c.timer, partialResponseTimeout)
 		}
 	case len(c.inFlight) > 0:
-		pool.loop.Cancel(&c.timer)
+		pool.loop.CancelTimer(&c.timer)
 	case c.transport.closed:
 		c.close(control.NotSent, reasonIdle)
 	default:
-		pool.loop.Start(&c.timer, pool.idleTimeout)
+		pool.loop.StartTimer(&c.timer, pool.idleTimeout)
 		pool.onCapacityFreed()
 	}
 }
@@ -113,7 +113,7 @@
 // timerExpired closes the connection after its timeout.
 func (c *workerConn) timerExpired() {
 	switch {
-	case c.partialResponse && c.conn.ReadPauses() != c.pausesAtStart: // reads failed on this machine: the worker is not at fault
+	case c.partialResponse && c.conn.BackoffCount() != c.pausesAtStart: // reads failed on this machine: the worker is not at fault
 		c.resetTimer()
 	case c.partialResponse:
 		c.transport.pool.clients.countDrop(reasonResponseStalled)
@@ -139,7 +139,7 @@
 		}
 		used += n
 		c.partialResponse = false
-		pool.loop.Cancel(&c.timer)
+		pool.loop.CancelTimer(&c.timer)
 		c.handleResponse(&response)
 	}
 	if c.closed {
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -32,7 +32,7 @@
 	p.clients = clients
 	p.gateway = clients.gateway
 	p.loop = clients.loop
-	p.loadReportFields = gatewayConfig.Report
+	p.loadReportFields = gatewayConfig.LoadReportFields
 	p.conns = map[*workerConn]struct{}{}
 	p.maxStreams = int(file.positiveOr("limits.streams_per_conn", defaultMaxStreams))
 	p.connectTimeout = gatewayConfig.Limits.ConnectTimeout.Seconds
--- a/internal/platform/worker_transport.go
+++ b/internal/platform/worker_transport.go
@@ -226,7 +226,7 @@
 // removeConn removes a closed connection from the transport and the pool.
 func (t *workerTransport) removeConn(conn *workerConn) {
 	conn.closed = true
-	t.pool.loop.Cancel(&conn.timer)
+	t.pool.loop.CancelTimer(&conn.timer)
 	for i, other := range t.conns {
 		if other == conn {
 			t.conns = append(t.conns[:i], t.conns[i+1:]...)
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -154,8 +154,8 @@
 	w.text(string(message[:min(len(message), maxPeerMessage)]))
 }
 
-// SubscribeWorkerList implements control.Actions.
-func (d *dispatcher) SubscribeWorkerList(on bool) {
+// SubscribeEndpointList implements control.Actions.
+func (d *dispatcher) SubscribeEndpointList(on bool) {
 	w := d.action(actionSubscribe)
 	if on {
 		w.uint8(1)
@@ -164,8 +164,8 @@
 	}
 }
 
-// FetchWorkerList implements control.Actions.
-func (d *dispatcher) FetchWorkerList() { d.action(actionFetchList) }
+// FetchEndpointList implements control.Actions.
+func (d *dispatcher) FetchEndpointList() { d.action(actionFetchList) }
 
 // SetTimer implements control.Actions.
 func (d *dispatcher) SetTimer(after control.Seconds, id control.TimerID) {
