--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -130,7 +130,7 @@
 // workerInfoSize is the size of a worker in a list, in bytes.
 const workerInfoSize = 24
 
-var listKinds = map[uint8]control.WorkerListKind{
+var listKinds = map[uint8]control.EndpointListKind{
 	0: control.ListDelta,
 	1: control.ListFailed,
 	3: control.ListCached,
--- a/internal/simwire/server_test.go
+++ b/internal/simwire/server_test.go
@@ -38,7 +38,7 @@
 func (m *recordingModule) ResponseStarted(id control.RequestID, attempt int, worker control.WorkerID, took control.Seconds) {
 	m.record("response started %x.%d at %d after %g", id, attempt, worker, took)
 }
-func (m *recordingModule) UpdateWorkers(kind control.WorkerListKind, version uint32, list []control.WorkerInfo) {
+func (m *recordingModule) UpdateWorkers(kind control.EndpointListKind, version uint32, list []control.WorkerInfo) {
 	m.record("list %d %d %+v", kind, version, list)
 }
 func (m *recordingModule) Reconcile() {
@@ -128,7 +128,7 @@
 		{func(a control.Actions) { a.SendPeerMessage(control.AllPeers, []byte("hi 7")) }, "4d000300 4f00ffff040068692037"},
 		{func(a control.Actions) { a.LoadModel(worker, 0x7c55d20a01, 1) }, "4d000300 48000a124a075b1b010ad2557c00000001"},
 		{func(a control.Actions) { a.Shed(1, 0.25); a.Fail(2) }, "4d000300 46000100000090d00300 420002000000"},
-		{func(a control.Actions) { a.CancelAttempt(1, 2); a.SubscribeWorkerList(true); a.FetchWorkerList() }, "4d000300 4300010000000200 440001 4900"},
+		{func(a control.Actions) { a.CancelAttempt(1, 2); a.SubscribeEndpointList(true); a.FetchEndpointList() }, "4d000300 4300010000000200 440001 4900"},
 		{func(a control.Actions) {
 			a.UnloadModel(worker, 1)
 			a.ProbeWorker(worker)
--- a/internal/soak/coverage.go
+++ b/internal/soak/coverage.go
@@ -28,7 +28,7 @@
 // kindsMet returns the kinds of fault that a request met, sorted.
 func (r *runner) kindsMet(req *request) []string {
 	var kinds []string
-	for _, f := range r.plan.Troubles {
+	for _, f := range r.plan.Faults {
 		concurrent := req.SentAt < f.To+coverageMargin && max(req.EndedAt, req.SentAt) > f.From
 		if concurrent && r.affects(f, req) && !slices.Contains(kinds, string(f.Kind)) {
 			kinds = append(kinds, string(f.Kind))
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -271,7 +271,7 @@
 
 // plannedStandstill returns for how long the plan stops the process during a shutdown that begins now.
 func (d *dispatcher) plannedStandstill(now float64) (sum float64) {
-	for _, f := range d.run.plan.Troubles {
+	for _, f := range d.run.plan.Faults {
 		if f.Kind == Standstill && f.Target == d.index && f.overlaps(now, now+d.run.shutdownTimeout()) {
 			sum += f.To - max(f.From, now)
 		}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -26,14 +26,14 @@
 // Draw draws a plan from a seed. Each run leaves some kinds of fault out, so that the others meet more often.
 func Draw(seed uint64, b Bounds) Plan {
 	rnd := rand.New(rand.NewPCG(seed, drawStream))
-	p := Plan{Seed: seed, Span: b.Span, Site: drawSite(rnd, b)}
+	p := Plan{Seed: seed, Duration: b.Duration, Site: drawSite(rnd, b)}
 	kinds := drawKinds(rnd, b)
-	count := int(b.Span / secondsPerFault)
+	count := int(b.Duration / secondsPerFault)
 	if b.Dispatchers > manyDispatchers {
 		count *= 2
 	}
 	for range count {
-		p.Troubles = append(p.Troubles, drawFault(rnd, pick(rnd, kinds...), p.Site, b.Span))
+		p.Faults = append(p.Faults, drawFault(rnd, pick(rnd, kinds...), p.Site, b.Duration))
 	}
 	return p
 }
@@ -44,24 +44,24 @@
 		Sockets: pick(rnd, 64, 128, 256), RetryAfter: rnd.IntN(2) == 0, Hedge: rnd.IntN(4) > 0, Cancel: true}
 }
 
-func drawKinds(rnd *rand.Rand, b Bounds) []Kind {
-	if len(b.Only) > 0 {
-		return b.Only
+func drawKinds(rnd *rand.Rand, b Bounds) []FaultKind {
+	if len(b.Kinds) > 0 {
+		return b.Kinds
 	}
-	var kinds []Kind
-	for _, k := range Kinds {
-		if rnd.IntN(2) == 0 && (b.Shims || !k.needsFaultyBuild()) {
+	var kinds []FaultKind
+	for _, k := range FaultKinds {
+		if rnd.IntN(2) == 0 && (b.FaultyBuild || !k.needsFaultyBuild()) {
 			kinds = append(kinds, k)
 		}
 	}
 	if len(kinds) < minKindsOfFaults {
-		return []Kind{Terminate, Standstill, WorkerResets}
+		return []FaultKind{Terminate, Standstill, WorkerResets}
 	}
 	return kinds
 }
 
 // drawFault draws one fault. The order of the draws is part of the plan of a seed.
-func drawFault(rnd *rand.Rand, kind Kind, s Site, span float64) Fault {
+func drawFault(rnd *rand.Rand, kind FaultKind, s Site, span float64) Fault {
 	f := Fault{Kind: kind, Target: rnd.IntN(s.Dispatchers), From: firstFaultAt + rnd.Float64()*(span-firstFaultAt)}
 	if kind.targetsWorker() {
 		f.Target = rnd.IntN(s.Workers)
@@ -86,7 +86,7 @@
 }
 
 // drawErrno draws the error and the probability of failing system calls, zeros for other kinds.
-func drawErrno(rnd *rand.Rand, kind Kind) (errno unix.Errno, probability float64) {
+func drawErrno(rnd *rand.Rand, kind FaultKind) (errno unix.Errno, probability float64) {
 	switch kind {
 	case AcceptFails:
 		errno = pick(rnd, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EMFILE, unix.ECONNABORTED, unix.EINTR, unix.EPROTO)
@@ -113,7 +113,7 @@
 }
 
 // failingCalls names the system call that fails with an error during a fault.
-var failingCalls = map[Kind]faults.Call{
+var failingCalls = map[FaultKind]faults.Call{
 	AcceptFails:  faults.Accept,
 	ConnectFails: faults.Connect,
 	SocketFails:  faults.Socket,
@@ -125,21 +125,21 @@
 
 // syscallFaults returns the faults that a dispatcher built with -tags faults plays in its own system calls.
 func (p Plan) syscallFaults(dispatcher int) (spans []faults.Span) {
-	for _, f := range p.Troubles {
+	for _, f := range p.Faults {
 		if !f.Kind.needsFaultyBuild() || f.Target != dispatcher {
 			continue
 		}
 		if f.Kind == ClockStep {
-			spans = append(spans, faults.Span{From: f.From, To: f.To, Step: f.Amount})
+			spans = append(spans, faults.Span{From: f.From, To: f.To, ClockOffset: f.Amount})
 			continue
 		}
 		call := failingCalls[f.Kind]
-		spans = append(spans, faults.Span{Call: call, Errno: f.Errno, From: f.From, To: f.To, Chance: f.Amount})
+		spans = append(spans, faults.Span{Call: call, Errno: f.Errno, From: f.From, To: f.To, Probability: f.Amount})
 		switch f.Kind {
 		case ReadFails:
-			spans = append(spans, faults.Span{Call: call, From: f.From, To: f.To, Short: readChunk})
+			spans = append(spans, faults.Span{Call: call, From: f.From, To: f.To, MaxBytes: readChunk})
 		case WriteFails:
-			spans = append(spans, faults.Span{Call: call, From: f.From, To: f.To, Short: writeChunk})
+			spans = append(spans, faults.Span{Call: call, From: f.From, To: f.To, MaxBytes: writeChunk})
 		}
 	}
 	return spans
--- a/internal/soak/invariants.go
+++ b/internal/soak/invariants.go
@@ -7,11 +7,11 @@
 	"sort"
 )
 
-// Find is a broken promise.
-type Find struct {
-	Rule string // a promise as docs/promises.md numbers it, or one of the rules below
-	What string
-	At   float64 // s of the run
+// Violation is a broken promise.
+type Violation struct {
+	Rule        string // a promise as docs/promises.md numbers it, or one of the rules below
+	Description string
+	At          float64 // s of the run
 }
 
 // Rules of findings that are no promise.
@@ -21,7 +21,9 @@
 )
 
 // String describes the finding in one line.
-func (f Find) String() string { return fmt.Sprintf("%s at %.3f s: %s", f.Rule, f.At, f.What) }
+func (f Violation) String() string {
+	return fmt.Sprintf("%s at %.3f s: %s", f.Rule, f.At, f.Description)
+}
 
 const (
 	answerSlack      = 0.5  // s past a client's timeout until a response counts as late
@@ -167,7 +169,7 @@
 	if !ok {
 		return
 	}
-	for _, f := range c.plan.Troubles {
+	for _, f := range c.plan.Faults {
 		if f.Kind == LogFails && notifiedAt >= f.From-1 && notifiedAt < f.To+outageMargin {
 			notifiedAt = max(notifiedAt, min(f.To+outageMargin, f.From+outageNotifiedIn))
 		}
@@ -181,7 +183,7 @@
 // checkSlowStart checks how many attempts a worker gets right after its start: the settings allow it a share of what a
 // worker gets in the mean. If the change log failed at the time, it is unknown who was notified, and nothing is checked.
 func (c *checker) checkSlowStart(worker string, startedAt float64) {
-	for _, f := range c.plan.Troubles {
+	for _, f := range c.plan.Faults {
 		if f.Kind == LogFails && f.overlaps(startedAt-overloadWindow, startedAt+overloadWindow) {
 			return
 		}
@@ -205,11 +207,11 @@
 func (c *checker) slowStartLimit() float64 {
 	requests := 0
 	for _, req := range c.history.Requests {
-		if req.SentAt < c.plan.Span {
+		if req.SentAt < c.plan.Duration {
 			requests++
 		}
 	}
-	requestRate := float64(requests) / c.plan.Span / float64(c.plan.Site.Workers)
+	requestRate := float64(requests) / c.plan.Duration / float64(c.plan.Site.Workers)
 	meanCapacity := slowStartCapacity + (1-slowStartCapacity)*overloadWindow/2/slowStartDuration
 	allowed := overloadFactor * requestRate * overloadWindow * meanCapacity
 	if allowed < 30 {
@@ -224,7 +226,7 @@
 // ioOutage returns for how long, from a request until a time, its dispatcher's reads and writes failed for want of memory
 // or were short: it could neither read nor answer meanwhile. On a new connection the same holds while it could accept none.
 func (c *checker) ioOutage(req *request, until float64) (sum float64) {
-	for _, f := range c.plan.Troubles {
+	for _, f := range c.plan.Faults {
 		if f.Target == req.Dispatcher && f.Kind.stopsIO(req.NewConn) && f.overlaps(req.SentAt, until) {
 			sum += f.To - f.From
 		}
@@ -233,7 +235,7 @@
 }
 
 // stopsIO reports whether a dispatcher can't read and write on a connection during a fault of the kind.
-func (k Kind) stopsIO(newConn bool) bool {
+func (k FaultKind) stopsIO(newConn bool) bool {
 	switch k {
 	case WriteFails, ReadFails:
 		return true
--- a/internal/soak/invariants_test.go
+++ b/internal/soak/invariants_test.go
@@ -68,10 +68,10 @@
 	}},
 	{"notified late in an outage", "", func(s *scene) {
 		s.run.history.DrainedAt["s-00-0"] = 0.5
-		s.run.plan.Troubles = []Fault{{Kind: LogFails, From: 0.4, To: 0.8}}
+		s.run.plan.Faults = []Fault{{Kind: LogFails, From: 0.4, To: 0.8}}
 	}},
 	{"too much for a worker in slow start", "P8", func(s *scene) {
-		s.run.plan.Span, s.run.plan.Site.Workers = 10, 2
+		s.run.plan.Duration, s.run.plan.Site.Workers = 10, 2
 		s.run.history.StartedAt["s-07-1"] = 5
 		for i := range 200 { // 10 a second for each
 			s.run.history.addRequest(&request{ID: fmt.Sprint(i), SentAt: 1 + float64(i)/25, Outcome: NotAccepted})
@@ -101,15 +101,15 @@
 }
 
 func TestSameSeedSamePlan(t *testing.T) {
-	b := Bounds{Dispatchers: 10, Span: 8, Shims: true}
+	b := Bounds{Dispatchers: 10, Duration: 8, FaultyBuild: true}
 	for seed := range uint64(20) {
 		first, second := Draw(seed, b), Draw(seed, b)
-		if len(first.Troubles) == 0 || len(first.Troubles) != len(second.Troubles) {
-			t.Fatalf("seed %d: %d and %d faults", seed, len(first.Troubles), len(second.Troubles))
+		if len(first.Faults) == 0 || len(first.Faults) != len(second.Faults) {
+			t.Fatalf("seed %d: %d and %d faults", seed, len(first.Faults), len(second.Faults))
 		}
-		for i := range first.Troubles {
-			if first.Troubles[i] != second.Troubles[i] {
-				t.Errorf("seed %d: %v, %v", seed, first.Troubles[i], second.Troubles[i])
+		for i := range first.Faults {
+			if first.Faults[i] != second.Faults[i] {
+				t.Errorf("seed %d: %v, %v", seed, first.Faults[i], second.Faults[i])
 			}
 		}
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -10,43 +10,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind names a kind of fault.
-type Kind string
+// FaultKind names a kind of fault.
+type FaultKind string
 
 // The kinds of fault.
 const (
-	Terminate     Kind = "terminate"       // SIGTERM and a restart
-	Kill          Kind = "kill"            // SIGKILL and a restart
-	Reload        Kind = "reload"          // SIGHUP in a burst while the file is half written
-	Standstill    Kind = "standstill"      // SIGSTOP and SIGCONT
-	Descriptors   Kind = "descriptors"     // the limit on descriptors drops to what is in use
-	AcceptFails   Kind = "accept_fails"    // ENFILE, ENOBUFS, ECONNABORTED, ...
-	ConnectFails  Kind = "connect_fails"   // EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ...
-	SocketFails   Kind = "socket_fails"    // ENFILE, ENOBUFS
-	ReadFails     Kind = "read_fails"      // EINTR, ENOMEM, short reads
-	WriteFails    Kind = "write_fails"     // EINTR, ENOBUFS, short writes
-	EpollFails    Kind = "epoll_fails"     // ENOMEM, ENOSPC
-	FileFails     Kind = "file_fails"      // EIO, EMFILE while the configuration is read
-	ClockStep     Kind = "clock_step"      // the wall clock steps by seconds or an hour
-	WorkerHangs   Kind = "worker_hangs"    // reads and answers nothing
-	WorkerDeaf    Kind = "worker_deaf"     // does not read
-	WorkerResets  Kind = "worker_resets"   // resets connections, idle or with requests in flight
-	WorkerSpoils  Kind = "worker_spoils"   // noise, truncated responses, responses sent twice or under other ids
-	WorkerRefuses Kind = "worker_refuses"  // accepts no connections
-	WorkerLeaves  Kind = "worker_leaves"   // drains, ends, and a new one starts at its address
-	LinkSlow      Kind = "link_slow"       // responses arrive late and byte by byte
-	LogFails      Kind = "change_log_fail" // the change log is down, silent or truncates responses
-	ClientsCancel Kind = "clients_cancel"  // many clients cancel requests or disconnect
-	ClientsFlood  Kind = "clients_flood"   // silent connections, garbage, half messages
+	Terminate     FaultKind = "terminate"       // SIGTERM and a restart
+	Kill          FaultKind = "kill"            // SIGKILL and a restart
+	Reload        FaultKind = "reload"          // SIGHUP in a burst while the file is half written
+	Standstill    FaultKind = "standstill"      // SIGSTOP and SIGCONT
+	Descriptors   FaultKind = "descriptors"     // the limit on descriptors drops to what is in use
+	AcceptFails   FaultKind = "accept_fails"    // ENFILE, ENOBUFS, ECONNABORTED, ...
+	ConnectFails  FaultKind = "connect_fails"   // EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, ...
+	SocketFails   FaultKind = "socket_fails"    // ENFILE, ENOBUFS
+	ReadFails     FaultKind = "read_fails"      // EINTR, ENOMEM, short reads
+	WriteFails    FaultKind = "write_fails"     // EINTR, ENOBUFS, short writes
+	EpollFails    FaultKind = "epoll_fails"     // ENOMEM, ENOSPC
+	FileFails     FaultKind = "file_fails"      // EIO, EMFILE while the configuration is read
+	ClockStep     FaultKind = "clock_step"      // the wall clock steps by seconds or an hour
+	WorkerHangs   FaultKind = "worker_hangs"    // reads and answers nothing
+	WorkerDeaf    FaultKind = "worker_deaf"     // does not read
+	WorkerResets  FaultKind = "worker_resets"   // resets connections, idle or with requests in flight
+	WorkerSpoils  FaultKind = "worker_spoils"   // noise, truncated responses, responses sent twice or under other ids
+	WorkerRefuses FaultKind = "worker_refuses"  // accepts no connections
+	WorkerLeaves  FaultKind = "worker_leaves"   // drains, ends, and a new one starts at its address
+	LinkSlow      FaultKind = "link_slow"       // responses arrive late and byte by byte
+	LogFails      FaultKind = "change_log_fail" // the change log is down, silent or truncates responses
+	ClientsCancel FaultKind = "clients_cancel"  // many clients cancel requests or disconnect
+	ClientsFlood  FaultKind = "clients_flood"   // silent connections, garbage, half messages
 )
 
-// Kinds lists all kinds of fault.
-var Kinds = []Kind{Terminate, Kill, Reload, Standstill, Descriptors, AcceptFails, ConnectFails, SocketFails, ReadFails, WriteFails, EpollFails,
+// FaultKinds lists all kinds of fault.
+var FaultKinds = []FaultKind{Terminate, Kill, Reload, Standstill, Descriptors, AcceptFails, ConnectFails, SocketFails, ReadFails, WriteFails, EpollFails,
 	FileFails, ClockStep, WorkerHangs, WorkerDeaf, WorkerResets, WorkerSpoils, WorkerRefuses, WorkerLeaves, LinkSlow, LogFails, ClientsCancel,
 	ClientsFlood}
 
 // needsFaultyBuild reports whether a kind needs dispatchers that are built with -tags faults.
-func (k Kind) needsFaultyBuild() bool {
+func (k FaultKind) needsFaultyBuild() bool {
 	switch k {
 	case AcceptFails, ConnectFails, SocketFails, ReadFails, WriteFails, EpollFails, FileFails, ClockStep:
 		return true
@@ -55,7 +55,7 @@
 }
 
 // targetsWorker reports whether a kind affects one worker.
-func (k Kind) targetsWorker() bool {
+func (k FaultKind) targetsWorker() bool {
 	switch k {
 	case WorkerHangs, WorkerDeaf, WorkerResets, WorkerSpoils, WorkerRefuses, WorkerLeaves, LinkSlow:
 		return true
@@ -64,12 +64,12 @@
 }
 
 // targetsAll reports whether a kind affects all dispatchers.
-func (k Kind) targetsAll() bool { return k == LogFails }
+func (k FaultKind) targetsAll() bool { return k == LogFails }
 
 // Fault is one fault of a plan. From and To are in seconds of the plan; Target is the index of a dispatcher or a worker,
 // depending on the kind.
 type Fault struct {
-	Kind     Kind
+	Kind     FaultKind
 	Target   int
 	From, To float64
 	Amount   float64 // probability, step of the clock or mode, depending on the kind
@@ -111,15 +111,15 @@
 // Plan describes one run.
 type Plan struct {
 	Seed     uint64
-	Span     float64 // seconds with faults; a quiet time follows
+	Duration float64 // seconds with faults; a quiet time follows
 	Site     Site
-	Troubles []Fault
+	Faults   []Fault
 }
 
 // Bounds limits what Draw may draw.
 type Bounds struct {
 	Dispatchers int
-	Span        float64
-	Only        []Kind // empty for all
-	Shims       bool   // the dispatchers are built with -tags faults
+	Duration    float64
+	Kinds       []FaultKind // empty for all
+	FaultyBuild bool        // the dispatchers are built with -tags faults
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -32,15 +32,15 @@
 
 // Result is what a run showed.
 type Result struct {
-	Plan     Plan
-	Finds    []Find
-	Requests int
-	Attempts int
-	Endings  map[Outcome]int
-	Coverage map[string]int // requests by the kinds of fault they met, alone and in pairs
-	Late     float64        // worst delay of the test harness itself, s
-	Partial  bool           // stopped before the end
-	Dir      string
+	Plan         Plan
+	Violations   []Violation
+	Requests     int
+	Attempts     int
+	Outcomes     map[Outcome]int
+	Coverage     map[string]int // requests by the kinds of fault they met, alone and in pairs
+	HarnessDelay float64        // worst delay of the test harness itself, s
+	Partial      bool           // stopped before the end
+	Dir          string
 }
 
 // runner is a run in progress. Its lock guards what is below it; the other fields do not change once the run began.
@@ -56,7 +56,7 @@
 	stopped     chan struct{}
 
 	mu            sync.Mutex
-	violations    []Find
+	violations    []Violation
 	harnessDelays map[int]float64 // worst delay of the harness by bucket of time
 }
 
@@ -80,7 +80,7 @@
 	r.checkInvariants()
 	result := r.result()
 	result.Partial = !complete
-	if len(result.Finds) == 0 && o.Dir == "" || !o.Keep {
+	if len(result.Violations) == 0 && o.Dir == "" || !o.Keep {
 		os.RemoveAll(dir)
 	}
 	return result, nil
@@ -156,7 +156,7 @@
 	}
 	r.playFaults(ctx)
 	// A stop of a process may have taken longer than the plan.
-	complete = r.sleepUntil(ctx, max(r.plan.Span, r.history.now())+quietSpan)
+	complete = r.sleepUntil(ctx, max(r.plan.Duration, r.history.now())+quietSpan)
 	if complete {
 		r.checkRecovered()
 	}
@@ -188,7 +188,7 @@
 // playFaults plays all faults at their times and returns after the last.
 func (r *runner) playFaults(ctx context.Context) {
 	var playing sync.WaitGroup
-	for _, f := range r.plan.Troubles {
+	for _, f := range r.plan.Faults {
 		playing.Add(1)
 		go func() {
 			defer playing.Done()
@@ -234,7 +234,7 @@
 	}
 }
 
-func (r *runner) restart(d *dispatcher, kind Kind) {
+func (r *runner) restart(d *dispatcher, kind FaultKind) {
 	if !d.beginRestart() {
 		return
 	}
@@ -264,10 +264,10 @@
 }
 
 // activeFault returns the fault of a kind that is active now at a target, nil for none.
-func (r *runner) activeFault(kind Kind, target int) *Fault {
+func (r *runner) activeFault(kind FaultKind, target int) *Fault {
 	now := r.history.now()
-	for i := range r.plan.Troubles {
-		f := &r.plan.Troubles[i]
+	for i := range r.plan.Faults {
+		f := &r.plan.Faults[i]
 		if f.Kind == kind && (f.Target == target || kind.targetsAll()) && now >= f.From && now < f.To {
 			return f
 		}
@@ -275,7 +275,7 @@
 	return nil
 }
 
-func (r *runner) isActive(kind Kind, target int) bool { return r.activeFault(kind, target) != nil }
+func (r *runner) isActive(kind FaultKind, target int) bool { return r.activeFault(kind, target) != nil }
 
 // terminateAll ends the dispatchers as planned restarts do.
 func (r *runner) terminateAll() {
@@ -297,24 +297,24 @@
 func (r *runner) report(rule string, at float64, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.violations = append(r.violations, Find{Rule: rule, What: fmt.Sprintf(format, args...), At: at})
+	r.violations = append(r.violations, Violation{Rule: rule, Description: fmt.Sprintf(format, args...), At: at})
 }
 
 // result sums up the run after its end.
 func (r *runner) result() *Result {
-	result := &Result{Plan: r.plan, Dir: r.dir, Endings: map[Outcome]int{}}
+	result := &Result{Plan: r.plan, Dir: r.dir, Outcomes: map[Outcome]int{}}
 	r.mu.Lock()
-	result.Finds = r.violations
+	result.Violations = r.violations
 	for _, delay := range r.harnessDelays {
-		result.Late = max(result.Late, delay)
+		result.HarnessDelay = max(result.HarnessDelay, delay)
 	}
 	r.mu.Unlock()
-	sort.SliceStable(result.Finds, func(i, k int) bool { return result.Finds[i].At < result.Finds[k].At })
+	sort.SliceStable(result.Violations, func(i, k int) bool { return result.Violations[i].At < result.Violations[k].At })
 	r.history.mu.Lock()
 	defer r.history.mu.Unlock()
 	result.Requests = len(r.history.Requests)
 	for _, req := range r.history.Requests {
-		result.Endings[req.Outcome]++
+		result.Outcomes[req.Outcome]++
 	}
 	for _, list := range r.history.Attempts {
 		result.Attempts += len(list)
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -64,7 +64,7 @@
 	return w.rnd.IntN(n)
 }
 
-func (w *worker) isActive(kind Kind) bool { return w.run.isActive(kind, w.index) }
+func (w *worker) isActive(kind FaultKind) bool { return w.run.isActive(kind, w.index) }
 
 func (w *worker) accept() {
 	for {
--- a/internal/soak/worker_conn_test.go
+++ b/internal/soak/worker_conn_test.go
@@ -14,7 +14,7 @@
 
 // newTestRunner returns a runner without dispatchers.
 func newTestRunner(faults ...Fault) *runner {
-	return &runner{plan: Plan{Seed: 1, Site: Site{ConnIdle: 5, Deadline: 1}, Troubles: faults}, history: newHistory(),
+	return &runner{plan: Plan{Seed: 1, Site: Site{ConnIdle: 5, Deadline: 1}, Faults: faults}, history: newHistory(),
 		harnessDelays: map[int]float64{}, stopped: make(chan struct{})}
 }
 
--- a/internal/syscalls/faults/kernel.go
+++ b/internal/syscalls/faults/kernel.go
@@ -37,9 +37,9 @@
 	// is the result and the system call is not made.
 	Fail func(c Call, fd int) error
 	// Returns the greatest number of bytes that a Read or Write of n bytes may transfer.
-	Short func(c Call, fd, n int) int
+	MaxBytes func(c Call, fd, n int) int
 	// Returns the error of the wall clock.
-	Offset func() time.Duration
+	ClockOffset func() time.Duration
 }
 
 func (k *Kernel) fail(c Call, fd int) error {
@@ -51,10 +51,10 @@
 
 // limitLength returns the part of b that a Read or Write may transfer, at least one byte unless b is empty.
 func (k *Kernel) limitLength(c Call, fd int, b []byte) []byte {
-	if k.Short == nil || len(b) == 0 {
+	if k.MaxBytes == nil || len(b) == 0 {
 		return b
 	}
-	return b[:max(1, min(len(b), k.Short(c, fd, len(b))))]
+	return b[:max(1, min(len(b), k.MaxBytes(c, fd, len(b))))]
 }
 
 // Socket implements syscalls.Kernel.
@@ -160,8 +160,8 @@
 // WallClock implements syscalls.Kernel.
 func (k *Kernel) WallClock() time.Time {
 	now := k.Kernel.WallClock()
-	if k.Offset != nil {
-		now = now.Add(k.Offset())
+	if k.ClockOffset != nil {
+		now = now.Add(k.ClockOffset())
 	}
 	return now
 }
--- a/internal/syscalls/faults/plan.go
+++ b/internal/syscalls/faults/plan.go
@@ -15,13 +15,13 @@
 
 // Span is a fault of a plan: for some time a system call fails or is shortened, or the wall clock is wrong.
 type Span struct {
-	Call   Call          `json:"call,omitempty"`
-	Errno  syscall.Errno `json:"errno,omitempty"`
-	From   float64       `json:"from"` // s since the plan's origin
-	To     float64       `json:"to"`
-	Chance float64       `json:"chance,omitempty"` // probability that a call fails
-	Short  int           `json:"short,omitempty"`  // greatest number of bytes that a Read or Write transfers; 0 for no limit
-	Step   float64       `json:"step,omitempty"`   // error of the wall clock, s
+	Call        Call          `json:"call,omitempty"`
+	Errno       syscall.Errno `json:"errno,omitempty"`
+	From        float64       `json:"from"` // s since the plan's origin
+	To          float64       `json:"to"`
+	Probability float64       `json:"chance,omitempty"` // probability that a call fails
+	MaxBytes    int           `json:"short,omitempty"`  // greatest number of bytes that a Read or Write transfers; 0 for no limit
+	ClockOffset float64       `json:"step,omitempty"`   // error of the wall clock, s
 }
 
 // contains reports whether the fault is active at a time of the plan.
@@ -57,10 +57,10 @@
 func (p Plan) Kernel(underlying syscalls.Kernel) *Kernel {
 	injector := &planInjector{plan: p, random: rand.New(rand.NewPCG(p.Seed, 0))}
 	return &Kernel{
-		Kernel: underlying,
-		Fail:   injector.fail,
-		Short:  injector.limitLength,
-		Offset: injector.clockOffset,
+		Kernel:      underlying,
+		Fail:        injector.fail,
+		MaxBytes:    injector.limitLength,
+		ClockOffset: injector.clockOffset,
 	}
 }
 
@@ -77,7 +77,7 @@
 func (i *planInjector) fail(c Call, _ int) error {
 	now := i.now()
 	for _, span := range i.plan.Spans {
-		if span.Call == c && span.contains(now) && i.draw(span.Chance) {
+		if span.Call == c && span.contains(now) && i.draw(span.Probability) {
 			return span.Errno
 		}
 	}
@@ -94,8 +94,8 @@
 func (i *planInjector) limitLength(c Call, _, n int) int {
 	now := i.now()
 	for _, span := range i.plan.Spans {
-		if span.Short > 0 && span.Call == c && span.contains(now) {
-			n = min(n, span.Short)
+		if span.MaxBytes > 0 && span.Call == c && span.contains(now) {
+			n = min(n, span.MaxBytes)
 		}
 	}
 	return n
@@ -105,8 +105,8 @@
 	now := i.now()
 	offset := time.Duration(0)
 	for _, span := range i.plan.Spans {
-		if span.Step != 0 && span.contains(now) {
-			offset += time.Duration(span.Step * 1e9)
+		if span.ClockOffset != 0 && span.contains(now) {
+			offset += time.Duration(span.ClockOffset * 1e9)
 		}
 	}
 	return offset
--- a/internal/syscalls/faults/plan_test.go
+++ b/internal/syscalls/faults/plan_test.go
@@ -16,9 +16,9 @@
 
 func TestPlanFailsCallsInItsSpans(t *testing.T) {
 	k := activePlan(
-		Span{Call: Accept, Errno: unix.EMFILE, From: 0, To: 1000, Chance: 1},
-		Span{Call: Read, Errno: unix.ENOMEM, From: 0, To: 50, Chance: 1}, // over
-		Span{Call: Write, Errno: unix.ENOMEM, From: 0, To: 1000, Chance: 0.3},
+		Span{Call: Accept, Errno: unix.EMFILE, From: 0, To: 1000, Probability: 1},
+		Span{Call: Read, Errno: unix.ENOMEM, From: 0, To: 50, Probability: 1}, // over
+		Span{Call: Write, Errno: unix.ENOMEM, From: 0, To: 1000, Probability: 0.3},
 	).Kernel(syscalls.Linux{})
 	if err := k.Fail(Accept, 3); err != unix.EMFILE {
 		t.Errorf("accept: %v", err)
@@ -39,8 +39,8 @@
 
 func TestPlanShortensTransfers(t *testing.T) {
 	k := activePlan(
-		Span{Call: Read, From: 0, To: 1000, Short: 7},
-		Span{Call: Read, From: 0, To: 50, Short: 2}, // over
+		Span{Call: Read, From: 0, To: 1000, MaxBytes: 7},
+		Span{Call: Read, From: 0, To: 50, MaxBytes: 2}, // over
 	).Kernel(syscalls.Linux{})
 	for _, c := range []struct {
 		call    Call
@@ -54,8 +54,8 @@
 
 func TestPlanStepsTheWallClock(t *testing.T) {
 	k := activePlan(
-		Span{From: 0, To: 1000, Step: 3600},
-		Span{From: 0, To: 50, Step: 7200}, // over
+		Span{From: 0, To: 1000, ClockOffset: 3600},
+		Span{From: 0, To: 50, ClockOffset: 7200}, // over
 	).Kernel(syscalls.Linux{})
 	if step := time.Until(k.WallClock()); step < 59*time.Minute || step > 61*time.Minute {
 		t.Errorf("the wall clock is off by %v", step)
--- a/internal/workerproto/response.go
+++ b/internal/workerproto/response.go
@@ -174,7 +174,7 @@
 func parseModelState(detail []byte, previous control.ModelState) control.ModelState {
 	switch string(detail) {
 	case "resident":
-		return control.ModelWarm
+		return control.ModelLoaded
 	case "booted":
 		return control.LoadStarted
 	case "rode":
