--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -115,6 +115,7 @@
 	}
 	if x.conn.tcp.UnsentBytes() > x.conn.server.options.StreamAhead {
 		x.streamBlocked = true
+		x.conn.tcp.NotifyFlushed() // the kernel may accept all of it at once
 		return false
 	}
 	x.startBodyTimer()
--- a/internal/httpconn/helpers_test.go
+++ b/internal/httpconn/helpers_test.go
@@ -32,11 +32,12 @@
 type recordingService struct {
 	held     []*Exchange
 	gone     int
+	writable int   // calls of StreamWritable
 	rejected []int // status codes
 }
 
 func (s *recordingService) HeadReceived(*Exchange) bool { return false }
-func (s *recordingService) StreamWritable(*Exchange)    {}
+func (s *recordingService) StreamWritable(*Exchange)    { s.writable++ }
 func (s *recordingService) ClientGone(*Exchange)        { s.gone++ }
 
 func (s *recordingService) RequestRefused(e *httpcodec.Error) {
--- a/internal/httpconn/server_test.go
+++ b/internal/httpconn/server_test.go
@@ -145,3 +145,38 @@
 		}
 	})
 }
+
+// A service that is held back because too much waits for the peer continues also when the kernel then accepts all of it in
+// one write, so that the connection is never reported as writable again.
+func TestStreamContinuesWhenAllIsAcceptedAtOnce(t *testing.T) {
+	l := startLoop(t)
+	server, service := startServer(t, l, ServerOptions{StreamAhead: 1000})
+	conn, r := dial(t, server)
+	io.WriteString(conn, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n")
+	eventlooptest.Until(t, l, "the request is received", func() bool { return len(service.held) == 1 })
+	x := service.held[0]
+	eventlooptest.On(t, l, func() {
+		x.StartStream(x.StartResponse(200), 2500)
+		if x.WriteStream(make([]byte, 2000)) {
+			t.Error("2000 bytes wait for the peer, and the service is not held back at 1000")
+		}
+	})
+	eventlooptest.Until(t, l, "the service may continue", func() bool { return service.writable == 1 })
+	eventlooptest.On(t, l, func() {
+		if n := x.UnsentBytes(); n > 0 {
+			t.Errorf("the service may continue while %d bytes wait for the peer", n)
+		}
+		if !x.WriteStream(make([]byte, 500)) {
+			t.Error("the service is held back at 500 bytes of 1000")
+		}
+		x.EndStream()
+	})
+	if status, body, _ := readResponse(t, r); status != 200 || len(body) != 2500 {
+		t.Errorf("%d, %d bytes of 2500", status, len(body))
+	}
+	eventlooptest.On(t, l, func() {
+		if service.writable != 1 {
+			t.Errorf("the service was allowed to continue %d times, held back once", service.writable)
+		}
+	})
+}
