--- a/internal/httpconn/server_test.go
+++ b/internal/httpconn/server_test.go
@@ -150,7 +150,7 @@
 // one write, so that the connection is never reported as writable again.
 func TestStreamContinuesWhenAllIsAcceptedAtOnce(t *testing.T) {
 	l := eventlooptest.Start(t)
-	server, service := startServer(t, l, ServerOptions{StreamAhead: 1000})
+	server, service := startServer(t, l, ServerOptions{MaxStreamBuffer: 1000})
 	conn, r := dial(t, server)
 	io.WriteString(conn, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n")
 	eventlooptest.Until(t, l, "the request is received", func() bool { return len(service.held) == 1 })
