--- a/control/admission.go
+++ b/control/admission.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-const minResponseMargin = 0.02 // s reserved before the client's deadline, on top of two ticks: two sweep intervals
+const minResponseMargin = 0.02 // s reserved before the client's deadline: two sweep intervals, to which two clock ticks are added
 
 // RequestArrived places a request at a worker, holds it, or gives it its final response if its deadline has passed.
 func (d *Dispatcher) RequestArrived(arrival Request) {
@@ -58,7 +58,7 @@
 // responseMargin returns how long before the client's deadline the final response is due.
 func (d *Dispatcher) responseMargin() Seconds { return minResponseMargin + 2*d.tick }
 
-// giveUp ends a request without a worker's response: rejected if a retry by the client is harmless, failed otherwise.
+// giveUp ends a request without a worker's response: shed if a retry by the client is harmless, failed otherwise.
 func (d *Dispatcher) giveUp(req *request) {
 	d.outbox.addRequest(req)
 	req.releaseHold()
--- a/control/api.go
+++ b/control/api.go
@@ -34,9 +34,9 @@
 	CloseIdleConnections(worker WorkerID)
 	// SendPeerMessage sends a gossip message to one dispatcher, or to all with AllPeers.
 	SendPeerMessage(peer PeerID, message []byte)
-	// SubscribeWorkerList starts or ends the subscription to the endpoint list.
+	// SubscribeEndpointList starts or ends the subscription to the endpoint list.
 	SubscribeEndpointList(on bool)
-	// FetchWorkerList requests one snapshot of the endpoint list.
+	// FetchEndpointList requests one snapshot of the endpoint list.
 	FetchEndpointList()
 	// SetTimer schedules a call of TimerFired after a delay.
 	SetTimer(delay Seconds, timer TimerID)
--- a/control/placement.go
+++ b/control/placement.go
@@ -211,7 +211,7 @@
 	}
 	count := min(len(search.candidates), requested.preferred)
 	for _, preferred := range search.candidates[:count] {
-		preferred.score.preferredAt = search.number
+		preferred.score.preferredInSearch = search.number
 	}
 }
 
@@ -224,7 +224,7 @@
 		if candidate.score.cost > math.MaxFloat64 {
 			continue
 		}
-		isPreferred := candidate.score.preferredAt == d.placement.number
+		isPreferred := candidate.score.preferredInSearch == d.placement.number
 		candidate.score.loaded = isPreferred || requested.replicaIfKnown(candidate).isLoaded(d.now)
 		if !candidate.score.loaded {
 			candidate.score.cost += requested.loadTime
--- a/control/request.go
+++ b/control/request.go
@@ -32,7 +32,7 @@
 	stateNew     requestState = iota
 	stateHeld                 // to wait in this dispatcher
 	stateAttempt              // to be sent to the worker of the latest attempt
-	stateShed                 // to be rejected
+	stateShed                 // to be shed
 	stateFail                 // to be failed
 	statePending              // nothing to do: an attempt is in flight
 	stateDone                 // the final response is given
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-const warmupSafety = 0.4 // fraction of the slow start budget that is used, as all dispatchers draw turns at random and capacity is a guess
+// warmupSafety is the fraction of the slow start budget that is used, as all dispatchers draw send slots at random and
+// capacity is a guess.
+const warmupSafety = 0.4
 
 // slowStart limits the attempts at workers that are warming up (rule 4): over any overloadWindow and from all dispatchers,
-// a worker may receive overloadFactor times its capacity at that age. Each dispatcher attempts in turns that it draws at
+// a worker may receive overloadFactor times its capacity at that age. Each dispatcher attempts in send slots that it draws at
 // random.
 type slowStart struct {
 	duration        Seconds // time from a worker's start to its full capacity
@@ -24,48 +26,48 @@
 	return 1
 }
 
-// turnLapsed reports whether the turn drawn last was not used in time. It is dropped then: saved turns of all dispatchers
-// could be used at once.
-func (s *slowStart) turnLapsed(now, turnAt Seconds) bool { return now > turnAt+s.overloadWindow }
+// slotLapsed reports whether the send slot drawn last was not used in time. It is dropped then: saved send slots of all
+// dispatchers could be used at once.
+func (s *slowStart) slotLapsed(now, slotAt Seconds) bool { return now > slotAt+s.overloadWindow }
 
-// turnRate returns how many turns per second this dispatcher has at a worker, given the worker's fraction of its capacity and
-// the requests/s that this dispatcher sends to a worker on average.
-func (s *slowStart) turnRate(capacity, ratePerWorker float64) float64 {
+// slotRate returns how many send slots per second this dispatcher has at a worker, given the worker's fraction of its
+// capacity and the requests/s that this dispatcher sends to a worker on average.
+func (s *slowStart) slotRate(capacity, ratePerWorker float64) float64 {
 	safety := warmupSafety * (1 + 1/s.dispatchers) // a sole dispatcher competes with no other
 	return math.Max(1/(s.overloadWindow*s.dispatchers), safety*s.overloadFactor*capacity*ratePerWorker)
 }
 
 // admitsWarmingUp reports whether a worker that is warming up, with the given fraction of its capacity, may receive an
-// attempt now.
+// attempt now. It draws the next send slot where the last one has lapsed.
 func (d *Dispatcher) admitsWarmingUp(req *request, target *worker, capacity float64) bool {
 	if d.sparseTraffic {
 		return d.admitsByChance(req, target, capacity)
 	}
-	if d.slowStart.turnLapsed(d.now, target.nextWarmupTurnAt) {
-		target.nextWarmupTurnAt = d.now + 2*d.rnd.float()/d.slowStart.turnRate(capacity, d.requestRatePerWorker())
+	if d.slowStart.slotLapsed(d.now, target.nextWarmupSlotAt) {
+		target.nextWarmupSlotAt = d.now + 2*d.rnd.float()/d.slowStart.slotRate(capacity, d.requestRatePerWorker())
 	}
-	return !(d.now < target.nextWarmupTurnAt)
+	return !(d.now < target.nextWarmupSlotAt)
 }
 
-// admitsByChance admits a fraction of the requests, by a hash. It replaces turns under sparse traffic, where requests for
-// which the worker would be chosen are so rare that turns lapse. The fraction is lower while few workers admit requests.
-// It overloads the worker if one model receives most of the traffic.
+// admitsByChance admits a fraction of the requests, by a hash. It replaces send slots under sparse traffic, where requests
+// for which the worker would be chosen are so rare that send slots lapse. The fraction is lower while few workers admit
+// requests. It overloads the worker if one model receives most of the traffic.
 func (d *Dispatcher) admitsByChance(req *request, target *worker, capacity float64) bool {
 	fraction := warmupSafety * d.slowStart.overloadFactor * capacity * d.placement.admittingFraction
 	highestAdmitted := uint64(fraction*(1<<53)) << 11
-	return !(d.now < target.nextWarmupTurnAt || hash(uint64(req.id)<<32^uint64(target.ID)) > highestAdmitted)
+	return !(d.now < target.nextWarmupSlotAt || hash(uint64(req.id)<<32^uint64(target.ID)) > highestAdmitted)
 }
 
-// chargeWarmup records an attempt at a worker, which uses up the turn there. Sparse traffic, which has no turns, pauses for
-// some time after each attempt.
+// chargeWarmup records an attempt at a worker, which uses up the send slot there. Sparse traffic, which has no send slots,
+// pauses for some time after each attempt.
 func (d *Dispatcher) chargeWarmup(target *worker) {
-	target.nextWarmupTurnAt = math.Inf(-1)
+	target.nextWarmupSlotAt = math.Inf(-1)
 	if !d.sparseTraffic {
 		return
 	}
 	capacity := d.slowStart.capacityFraction(d.now, target.StartedAt)
 	if capacity < 1 {
 		rate := d.slowStart.overloadFactor * capacity * d.requestRatePerWorker()
-		target.nextWarmupTurnAt = d.now + 2*d.rnd.float()/rate
+		target.nextWarmupSlotAt = d.now + 2*d.rnd.float()/rate
 	}
 }
--- a/control/worker.go
+++ b/control/worker.go
@@ -14,24 +14,24 @@
 	report           loadReport
 	outlier          outlierDetector
 	outlierByClass   []outlierDetector // by traffic class
-	nextWarmupTurnAt Seconds           // when the slow start budget allows the next attempt, -Inf if no turn is drawn
+	nextWarmupSlotAt Seconds           // when the slow start budget allows the next attempt, -Inf if no send slot is drawn
 	loadBackoffUntil Seconds           // end of the backoff after the worker rejected a load
 	score            placementScore
 }
 
 // placementScore is the worker's result in the latest search for a replica.
 type placementScore struct {
-	cost        Seconds // time until the request would be served, +Inf if it can't be sent here
-	rank        uint64  // preferenceRank of the worker for the model
-	loaded      bool    // the model is assumed to be loaded here, or should be
-	preferredAt uint64  // number of the latest search that preferred this worker
+	cost              Seconds // time until the request would be served, +Inf if it can't be sent here
+	rank              uint64  // preferenceRank of the worker for the model
+	loaded            bool    // the model is assumed to be loaded here, or should be
+	preferredInSearch uint64  // number of the latest search that preferred this worker
 }
 
 // forgetHistory discards the outcomes of attempts at a worker that has restarted.
 func (w *worker) forgetHistory() {
 	clear(w.outlierByClass)
 	w.outlier = outlierDetector{}
-	w.nextWarmupTurnAt = math.Inf(-1)
+	w.nextWarmupSlotAt = math.Inf(-1)
 	w.ledger.abandoned = 0
 }
 
@@ -53,7 +53,7 @@
 		goneAt:           math.Inf(1),
 		report:           loadReport{receivedAt: math.Inf(-1)},
 		outlierByClass:   make([]outlierDetector, trafficClasses),
-		nextWarmupTurnAt: math.Inf(-1),
+		nextWarmupSlotAt: math.Inf(-1),
 	}
 	s.byID[info.ID] = added
 	s.all = append(s.all, added)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -20,7 +20,7 @@
 	ExitOK      = 0 // the command succeeded, or the dispatcher stopped with a response to every request
 	ExitError   = 1 // a setting, an address or an argument was wrong; or a scenario of the lab broke a rule
 	ExitCrash   = 3 // the decision module or the event loop failed; requests in flight got failure responses
-	ExitStopped = 4 // the grace period of a stop ended with requests in flight, which got failure responses
+	ExitStopped = 4 // the grace period of a stop ended with requests in flight; each was shed where a retry is harmless, else failed
 )
 
 // Serve runs a dispatcher by a settings file until it has stopped, and returns the exit code.
--- a/internal/app/dispatcher.go
+++ b/internal/app/dispatcher.go
@@ -89,7 +89,7 @@
 	switch {
 	case exit.PanicMessage != "":
 		return ExitCrash
-	case exit.FailedRequests > 0:
+	case exit.CutOffRequests > 0:
 		return ExitStopped
 	}
 	return ExitOK
--- a/internal/gateway/actions.go
+++ b/internal/gateway/actions.go
@@ -87,17 +87,17 @@
 		g.Metrics.countGuard("unknown")
 		return
 	}
-	call := g.allocateControlCall(CallLoadModel, w, model)
+	call := g.allocateWorkerCommand(CommandLoadModel, w, model)
 	call.Replicas = replicas
 	g.Metrics.loadRequests.Inc()
 	g.RecordEvent("load_requested", "", nil, w, float64(replicas))
 	if reason := rules.CheckLoad(w.isReady()); reason != rules.Allowed {
 		g.Metrics.countGuard("order_barred")
 		g.recordViolation(reason, "load order", nil, w)
-		g.Loop.Defer(func() { g.finishControlCall(call, control.NotSent) })
+		g.Loop.Defer(func() { g.finishWorkerCommand(call, control.NotSent) })
 		return
 	}
-	g.sendControlCall(call, g.cfg.Loads.Timeout.Seconds)
+	g.sendWorkerCommand(call, g.cfg.Loads.Timeout.Seconds)
 }
 
 // UnloadModel sends a request to unload the idle replicas of a model to a worker.
@@ -105,7 +105,7 @@
 	w := g.workers[workerID]
 	model := g.models.byID[modelID]
 	if w != nil && model != nil {
-		g.sendControlCall(g.allocateControlCall(CallUnloadModel, w, model), g.cfg.Loads.Timeout.Seconds)
+		g.sendWorkerCommand(g.allocateWorkerCommand(CommandUnloadModel, w, model), g.cfg.Loads.Timeout.Seconds)
 	}
 }
 
@@ -114,7 +114,7 @@
 	w := g.workers[id]
 	if w != nil {
 		g.Metrics.probes.Inc()
-		g.sendControlCall(g.allocateControlCall(CallProbe, w, nil), probeTimeout)
+		g.sendWorkerCommand(g.allocateWorkerCommand(CommandProbe, w, nil), probeTimeout)
 	}
 }
 
--- a/internal/gateway/final_response.go
+++ b/internal/gateway/final_response.go
@@ -34,7 +34,7 @@
 
 // shedRequest gives a request the final response that it is rejected and a retry is harmless.
 func (g *Gateway) shedRequest(r *Request, retryAfter float64) {
-	responder := g.takeResponder(r, outcomeShed)
+	responder := g.finishAndTakeResponder(r, outcomeShed)
 	if responder != nil {
 		responder.WriteShed(r, retryAfter)
 	}
@@ -47,7 +47,7 @@
 func (g *Gateway) timeOutRequest(r *Request, why string) { g.writeFailure(r, true, why) }
 
 func (g *Gateway) writeFailure(r *Request, timedOut bool, why string) {
-	responder := g.takeResponder(r, outcomeFailed)
+	responder := g.finishAndTakeResponder(r, outcomeFailed)
 	if responder == nil {
 		return
 	}
@@ -57,9 +57,9 @@
 	}
 }
 
-// takeResponder finishes a request and returns the writer for its final response, nil if it has finished before. The caller
+// finishAndTakeResponder finishes a request and returns the writer for its final response, nil if it has finished before. The caller
 // writes the response.
-func (g *Gateway) takeResponder(r *Request, o outcome) ResponseWriter {
+func (g *Gateway) finishAndTakeResponder(r *Request, o outcome) ResponseWriter {
 	if r.finished {
 		g.Metrics.countGuard("second_answer")
 		return nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,8 +66,8 @@
 	reporting        []finishedAttempt
 	reportFinishedFn func()
 
-	freeAttempts     []*Attempt
-	freeControlCalls []*ControlCall
+	freeAttempts       []*Attempt
+	freeWorkerCommands []*WorkerCommand
 
 	stopping      bool
 	stopDeadline  float64
--- a/internal/gateway/http_workers.go
+++ b/internal/gateway/http_workers.go
@@ -246,25 +246,25 @@
 	return result
 }
 
-// httpControlCall is the transport state of a control call. It implements httpconn.ResponseHandler.
-type httpControlCall struct {
-	controlCall *ControlCall
-	call        httpconn.Call
-	head        []byte
-	body        []byte
-	metadata    responseMetadata
+// httpWorkerCommand is the transport state of a worker command. It implements httpconn.ResponseHandler.
+type httpWorkerCommand struct {
+	workerCommand *WorkerCommand
+	call          httpconn.Call
+	head          []byte
+	body          []byte
+	metadata      responseMetadata
 }
 
-// SendControlCall implements WorkerTransport.
-func (t *httpWorkerTransport) SendControlCall(c *ControlCall) {
-	state, _ := c.TransportState.(*httpControlCall)
+// SendWorkerCommand implements WorkerTransport.
+func (t *httpWorkerTransport) SendWorkerCommand(c *WorkerCommand) {
+	state, _ := c.TransportState.(*httpWorkerCommand)
 	if state == nil {
-		state = &httpControlCall{controlCall: c}
+		state = &httpWorkerCommand{workerCommand: c}
 		state.call.Handler = state
 		c.TransportState = state
 	}
 	state.metadata = responseMetadata{}
-	method, target, body := encodeControlCall(c)
+	method, target, body := encodeWorkerCommand(c)
 	b := httpcodec.AppendRequest(state.head[:0], method, target)
 	b = append(b, "Host: "...)
 	b = c.Worker.Addr.AppendTo(b)
@@ -280,39 +280,39 @@
 	t.Do(&state.call, state.head, state.body)
 }
 
-// encodeControlCall returns the method, target and body of the HTTP request for a control call.
-func encodeControlCall(c *ControlCall) (method, target, body string) {
+// encodeWorkerCommand returns the method, target and body of the HTTP request for a worker command.
+func encodeWorkerCommand(c *WorkerCommand) (method, target, body string) {
 	switch c.Kind {
-	case CallLoadModel:
+	case CommandLoadModel:
 		body = `{"parameters":{"copies":` + strconv.Itoa(c.Replicas) + `}}`
 		return "POST", "/v2/repository/models/" + c.Model.Name + "/load", body
-	case CallUnloadModel:
+	case CommandUnloadModel:
 		return "POST", "/v2/repository/models/" + c.Model.Name + "/unload", "{}"
 	default:
 		return "GET", "/v2/load", ""
 	}
 }
 
-// CancelControlCall implements WorkerTransport.
-func (t *httpWorkerTransport) CancelControlCall(c *ControlCall) {
-	state, _ := c.TransportState.(*httpControlCall)
+// CancelWorkerCommand implements WorkerTransport.
+func (t *httpWorkerTransport) CancelWorkerCommand(c *WorkerCommand) {
+	state, _ := c.TransportState.(*httpWorkerCommand)
 	if state != nil {
 		state.call.Cancel()
 	}
 }
 
 // ResponseHead implements httpconn.ResponseHandler.
-func (h *httpControlCall) ResponseHead(head *httpcodec.Head) {
-	c := h.controlCall
+func (h *httpWorkerCommand) ResponseHead(head *httpcodec.Head) {
+	c := h.workerCommand
 	h.metadata = classifyResponse(head, c.gateway.cfg.LoadReportFields)
 	c.Response = h.metadata.WorkerResponse
 	c.gateway.observeStart(c.Worker, h.metadata.startEpoch)
 }
 
-// ResponseBody implements httpconn.ResponseHandler. The body of a control call's response is ignored.
-func (h *httpControlCall) ResponseBody([]byte) {}
+// ResponseBody implements httpconn.ResponseHandler. The body of a worker command's response is ignored.
+func (h *httpWorkerCommand) ResponseBody([]byte) {}
 
 // ResponseDone implements httpconn.ResponseHandler.
-func (h *httpControlCall) ResponseDone(err error) {
-	h.controlCall.Finish(finalResult(&h.call, h.metadata.Result, err))
+func (h *httpWorkerCommand) ResponseDone(err error) {
+	h.workerCommand.Finish(finalResult(&h.call, h.metadata.Result, err))
 }
--- a/internal/gateway/interfaces.go
+++ b/internal/gateway/interfaces.go
@@ -12,7 +12,7 @@
 // is one implementation, internal/platform the other. Every method here, on either side, is called on the event loop of the
 // gateway; nothing is safe for use by other goroutines.
 //
-// Ownership: the gateway owns Request, Attempt and ControlCall records, and recycles them once they are finished. An
+// Ownership: the gateway owns Request, Attempt and WorkerCommand records, and recycles them once they are finished. An
 // implementation may read the exported fields from the call that passes it the record until the call that finishes it, and
 // owns TransportState. The bytes of a response belong to the transport that received them.
 
@@ -45,8 +45,8 @@
 	BufferedBytes() int64
 }
 
-// WorkerTransport carries attempts and control calls to one worker. It reports the end of each by Attempt.Finish or
-// ControlCall.Finish, once, and not from within SendAttempt or SendControlCall. A cancelled one is not reported.
+// WorkerTransport carries attempts and worker commands to one worker. It reports the end of each by Attempt.Finish or
+// WorkerCommand.Finish, once, and not from within SendAttempt or SendWorkerCommand. A cancelled one is not reported.
 type WorkerTransport interface {
 	// SendAttempt sends or queues the request of an attempt.
 	SendAttempt(attempt *Attempt)
@@ -57,10 +57,10 @@
 	SentAt(attempt *Attempt) float64
 	// FullySent reports whether all of the attempt has been sent, so that cancelling it can't prevent that it runs.
 	FullySent(attempt *Attempt) bool
-	// SendControlCall sends a load, an unload or a probe. A call without a response finishes once it is sent.
-	SendControlCall(call *ControlCall)
-	// CancelControlCall cancels a control call: Finish is not called.
-	CancelControlCall(call *ControlCall)
+	// SendWorkerCommand sends a load, an unload or a probe. A call without a response finishes once it is sent.
+	SendWorkerCommand(call *WorkerCommand)
+	// CancelWorkerCommand cancels a worker command: Finish is not called.
+	CancelWorkerCommand(call *WorkerCommand)
 	// CloseIdle closes the idle connections.
 	CloseIdle()
 	// FailUnsent finishes each call of which nothing has been sent with control.NotSent, soon but not within FailUnsent.
@@ -69,7 +69,7 @@
 	Close()
 	// ConnectionCount returns the number of connections to the worker.
 	ConnectionCount() int
-	// QueuedCount returns the number of attempts and control calls that wait for a connection.
+	// QueuedCount returns the number of attempts and worker commands that wait for a connection.
 	QueuedCount() int
 }
 
@@ -92,8 +92,8 @@
 	transportAddr    netip.AddrPort // the address that transport connects to
 	transportEpoch   float64        // the worker's incarnation that transport was made for
 	announced        bool           // the control module has been notified of the worker
-	callsInFlight    int            // attempts and control calls that have not finished
-	startupProbeCall *ControlCall   // in flight, or nil
+	callsInFlight    int            // attempts and worker commands that have not finished
+	startupProbeCall *WorkerCommand // in flight, or nil
 	probeRetryTimer  eventloop.Timer
 	metrics          workerMetrics
 }
@@ -124,26 +124,26 @@
 // Finish records how the attempt ended. The first call counts, later ones have no effect.
 func (a *Attempt) Finish(result control.Result) { a.gateway.finishAttempt(a, result) }
 
-// ControlCallKind is the kind of a call to a worker that carries no client request.
-type ControlCallKind uint8
+// WorkerCommandKind is the kind of a call to a worker that carries no client request.
+type WorkerCommandKind uint8
 
-// The kinds of control calls.
+// The kinds of worker commands.
 const (
-	CallLoadModel    ControlCallKind = iota // load replicas of a model
-	CallUnloadModel                         // unload the idle replicas of a model
-	CallProbe                               // health check that returns a load report
-	CallStartupProbe                        // the same, sent to learn when the worker's process started
+	CommandLoadModel    WorkerCommandKind = iota // load replicas of a model
+	CommandUnloadModel                           // unload the idle replicas of a model
+	CommandProbe                                 // health check that returns a load report
+	CommandStartupProbe                          // the same, sent to learn when the worker's process started
 )
 
-// ControlCall is a call to a worker that carries no client request. The gateway owns it and uses it again after it has
+// WorkerCommand is a call to a worker that carries no client request. The gateway owns it and uses it again after it has
 // finished.
-type ControlCall struct {
-	Kind           ControlCallKind
+type WorkerCommand struct {
+	Kind           WorkerCommandKind
 	Worker         *Worker
 	Model          *Model // nil for probes
 	Replicas       int
 	Response       WorkerResponse
-	TransportState any // owned by the worker transport; it stays when the ControlCall is used again
+	TransportState any // owned by the worker transport; it stays when the WorkerCommand is used again
 
 	gateway      *Gateway
 	createdAt    float64
@@ -151,5 +151,5 @@
 	finished     bool
 }
 
-// Finish records how the control call ended. The first call counts, later ones have no effect.
-func (c *ControlCall) Finish(result control.Result) { c.gateway.finishControlCall(c, result) }
+// Finish records how the worker command ended. The first call counts, later ones have no effect.
+func (c *WorkerCommand) Finish(result control.Result) { c.gateway.finishWorkerCommand(c, result) }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -48,7 +48,7 @@
 
 	group      *group
 	lastUsed   float64 // loop time of its latest request
-	inFlight   int     // requests and control calls in flight that refer to it
+	inFlight   int     // requests and worker commands in flight that refer to it
 	prev, next *Model  // in modelCache's list
 }
 
@@ -85,7 +85,7 @@
 }
 
 // evict removes the models last used before a time and, while the cache holds limit models or more, further ones, least
-// recently used first. It keeps models that have requests or control calls in flight.
+// recently used first. It keeps models that have requests or worker commands in flight.
 func (c *modelCache) evict(before float64, limit int) {
 	model := c.lruHead.next
 	for model != &c.lruHead && (model.lastUsed < before || len(c.byID) >= limit) {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -15,7 +15,7 @@
 // ExitStatus is how a gateway ended.
 type ExitStatus struct {
 	PanicMessage   string // of the control module, if it panicked
-	FailedRequests int    // requests that got their final response because the shutdown's grace period expired
+	CutOffRequests int    // requests that got their final response because the shutdown's grace period expired
 }
 
 // ExitStatus returns how the gateway ended, once its loop has.
@@ -61,7 +61,7 @@
 func (g *Gateway) graceExpired() {
 	failed := g.finishAllRequests("the dispatcher is stopping")
 	if failed > 0 {
-		g.exitStatus.FailedRequests += failed
+		g.exitStatus.CutOffRequests += failed
 		g.log.Warn().Int("failed", failed).Msg("stop grace ran out; requests in flight ended")
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("%+v", response)
 	}
 	h.running.Wait()
-	if status := h.gateway.ExitStatus(); status.FailedRequests != 1 {
+	if status := h.gateway.ExitStatus(); status.CutOffRequests != 1 {
 		t.Errorf("%+v", status)
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -35,7 +35,7 @@
 	Announced        bool     `json:"announced"`       // the control module has been notified of it
 	Age              *float64 `json:"age_s,omitempty"` // seconds since its start, if known
 	Connections      int      `json:"connections"`
-	Queued           int      `json:"queued"` // attempts and control calls that wait for a connection
+	Queued           int      `json:"queued"` // attempts and worker commands that wait for a connection
 	InFlight         int      `json:"in_flight"`
 	QueuedWork       float64  `json:"work_s"`
 	FailureRate      float64  `json:"failure_rate"`
--- a/internal/gateway/control_call.go
+++ b/internal/gateway/worker_command.go
@@ -6,13 +6,13 @@
 
 const probeTimeout = 1.0 // s; a newly listed worker that does not respond by then is announced without its start time
 
-func (g *Gateway) allocateControlCall(kind ControlCallKind, w *Worker, model *Model) *ControlCall {
-	if len(g.freeControlCalls) == 0 {
-		g.freeControlCalls = append(g.freeControlCalls, g.newControlCall())
+func (g *Gateway) allocateWorkerCommand(kind WorkerCommandKind, w *Worker, model *Model) *WorkerCommand {
+	if len(g.freeWorkerCommands) == 0 {
+		g.freeWorkerCommands = append(g.freeWorkerCommands, g.newWorkerCommand())
 	}
-	last := len(g.freeControlCalls) - 1
-	call := g.freeControlCalls[last]
-	g.freeControlCalls = g.freeControlCalls[:last]
+	last := len(g.freeWorkerCommands) - 1
+	call := g.freeWorkerCommands[last]
+	g.freeWorkerCommands = g.freeWorkerCommands[:last]
 	call.Kind = kind
 	call.Worker = w
 	call.Model = model
@@ -27,46 +27,46 @@
 	return call
 }
 
-func (g *Gateway) newControlCall() *ControlCall {
-	call := &ControlCall{gateway: g}
-	call.timeoutTimer.Fire = func() { g.finishControlCall(call, control.TimedOut) }
+func (g *Gateway) newWorkerCommand() *WorkerCommand {
+	call := &WorkerCommand{gateway: g}
+	call.timeoutTimer.Fire = func() { g.finishWorkerCommand(call, control.TimedOut) }
 	return call
 }
 
-func (g *Gateway) sendControlCall(call *ControlCall, timeout float64) {
+func (g *Gateway) sendWorkerCommand(call *WorkerCommand, timeout float64) {
 	g.Loop.StartTimer(&call.timeoutTimer, timeout)
-	call.Worker.transport.SendControlCall(call)
+	call.Worker.transport.SendWorkerCommand(call)
 }
 
-// finishControlCall records the end of a control call, and delivers its result. It ignores a call that has finished.
-func (g *Gateway) finishControlCall(call *ControlCall, result control.Result) {
+// finishWorkerCommand records the end of a worker command, and delivers its result. It ignores a call that has finished.
+func (g *Gateway) finishWorkerCommand(call *WorkerCommand, result control.Result) {
 	if call.finished {
 		return
 	}
 	call.finished = true
 	if result == control.TimedOut || result == control.NotSent {
-		call.Worker.transport.CancelControlCall(call)
+		call.Worker.transport.CancelWorkerCommand(call)
 	}
 	g.Loop.CancelTimer(&call.timeoutTimer)
 	call.Worker.callsInFlight--
 	if call.Model != nil {
 		call.Model.inFlight--
 	}
-	g.deliverControlCallResult(call, result)
+	g.deliverWorkerCommandResult(call, result)
 	// Deferred, because the transport may still use the record when this function returns to it.
-	g.Loop.Defer(func() { g.freeControlCalls = append(g.freeControlCalls, call) })
+	g.Loop.Defer(func() { g.freeWorkerCommands = append(g.freeWorkerCommands, call) })
 }
 
-func (g *Gateway) deliverControlCallResult(call *ControlCall, result control.Result) {
+func (g *Gateway) deliverWorkerCommandResult(call *WorkerCommand, result control.Result) {
 	duration := g.Loop.Now() - call.createdAt
 	switch call.Kind {
-	case CallLoadModel:
+	case CommandLoadModel:
 		load := control.LoadResult{Worker: call.Worker.ID, Model: call.Model.ID, Result: result, Duration: duration, Replicas: call.Response.Replicas}
 		g.deliver(func(module control.Module) { module.LoadFinished(load) })
-	case CallProbe:
+	case CommandProbe:
 		probe := control.ProbeResult{Worker: call.Worker.ID, Result: result, Duration: duration, LoadReport: call.Response.LoadReport[:call.Response.LoadReportLen]}
 		g.deliver(func(module control.Module) { module.ProbeFinished(probe) })
-	case CallStartupProbe:
+	case CommandStartupProbe:
 		call.Worker.startupProbeCall = nil
 		g.finishStartupProbe(call.Worker, result == control.Succeeded)
 	}
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -114,7 +114,7 @@
 		w.transport.Close()
 		w.transport.FailUnsent()
 		if w.startupProbeCall != nil {
-			w.transport.CancelControlCall(w.startupProbeCall)
+			w.transport.CancelWorkerCommand(w.startupProbeCall)
 		}
 	}
 	w.transportAddr = member.Addr
@@ -129,8 +129,8 @@
 		return
 	}
 	w.BeginProbe()
-	w.startupProbeCall = g.allocateControlCall(CallStartupProbe, w, nil)
-	g.sendControlCall(w.startupProbeCall, probeTimeout)
+	w.startupProbeCall = g.allocateWorkerCommand(CommandStartupProbe, w, nil)
+	g.sendWorkerCommand(w.startupProbeCall, probeTimeout)
 }
 
 // finishStartupProbe announces a worker after a startup probe, with or without a known start time, and schedules another
--- a/internal/platform/send_queue.go
+++ b/internal/platform/send_queue.go
@@ -7,21 +7,21 @@
 	"mastchute/internal/workerproto"
 )
 
-// workerCall is the transport's record of one attempt or control call, of which exactly one is set. It is kept in the
-// TransportState of its attempt or control call, and is reused with it. A call is queued, then in flight on a connection,
+// workerCall is the transport's record of one attempt or worker command, of which exactly one is set. It is kept in the
+// TransportState of its attempt or worker command, and is reused with it. A call is queued, then in flight on a connection,
 // then neither.
 type workerCall struct {
-	attempt     *gateway.Attempt
-	controlCall *gateway.ControlCall
-	transport   *workerTransport
-	conn        *workerConn // nil unless in flight
-	queued      bool
-	tag         [24]byte // identifies the call in the worker's response: the request's id, or one made from a number
-	tagLen      int
-	rewrites    int     // how often it was written again because its deadline was out of date
-	startOffset uint64  // of its bytes in all that was written to the connection
-	endOffset   uint64  // of the first byte after them
-	writtenAt   float64 // when it was written to the connection; its deadline was computed then
+	attempt       *gateway.Attempt
+	workerCommand *gateway.WorkerCommand
+	transport     *workerTransport
+	conn          *workerConn // nil unless in flight
+	queued        bool
+	tag           [24]byte // identifies the call in the worker's response: the request's id, or one made from a number
+	tagLen        int
+	rewrites      int     // how often it was written again because its deadline was out of date
+	startOffset   uint64  // of its bytes in all that was written to the connection
+	endOffset     uint64  // of the first byte after them
+	writtenAt     float64 // when it was written to the connection; its deadline was computed then
 }
 
 // callOf returns the record in a TransportState, nil if nothing was sent.
@@ -91,8 +91,7 @@
 }
 
 // rewriteOrFail handles a call whose bytes were removed from the connection because the rules no longer allow them to be
-// sent. One whose
-// deadline is out of date is written again with a new one.
+// sent. One whose deadline is out of date is written again with a new one.
 func (t *workerTransport) rewriteOrFail(call *workerCall, reason rules.Reason) {
 	if reason == rules.StaleDeadline {
 		call.rewrites++
@@ -106,8 +105,8 @@
 func (c *workerCall) finish(result control.Result) {
 	if c.attempt != nil {
 		c.attempt.Finish(result)
-	} else if c.controlCall != nil {
-		c.controlCall.Finish(result)
+	} else if c.workerCommand != nil {
+		c.workerCommand.Finish(result)
 	}
 }
 
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("%+v %v", reply, ok)
 		}
 	}
-	if err := <-h.dispatcher.loopEnded; err != nil || h.dispatcher.Gateway.ExitStatus().FailedRequests > 0 {
+	if err := <-h.dispatcher.loopEnded; err != nil || h.dispatcher.Gateway.ExitStatus().CutOffRequests > 0 {
 		t.Errorf("%v %+v", err, h.dispatcher.Gateway.ExitStatus())
 	}
 	h.dispatcher.loopEnded <- nil
--- a/internal/platform/worker_conn.go
+++ b/internal/platform/worker_conn.go
@@ -173,7 +173,7 @@
 		call.attempt.Response = workerResponse
 		call.attempt.ResponseBody = append(call.attempt.ResponseBody[:0], response.Body...)
 	} else {
-		call.controlCall.Response = workerResponse
+		call.workerCommand.Response = workerResponse
 	}
 	call.finish(response.Result)
 }
--- a/internal/platform/worker_pool.go
+++ b/internal/platform/worker_pool.go
@@ -23,7 +23,7 @@
 	maxConns           int                // to all workers
 	awaitingDescriptor []*workerTransport // to be drained when a connection ends or becomes idle
 	awaitingRelease    []*workerTransport // to be drained when sends are no longer held
-	lastTag            uint64             // the latest number from which a control call's tag was made
+	lastTag            uint64             // the latest number from which a worker command's tag was made
 }
 
 // init sets the pool up for a transport whose other fields are set.
--- a/internal/platform/worker_send.go
+++ b/internal/platform/worker_send.go
@@ -29,8 +29,8 @@
 	call.endOffset = call.startOffset + uint64(len(message))
 	c.write(message)
 	if !hasResponse {
-		controlCall := call.controlCall
-		loop.Defer(func() { controlCall.Finish(control.Succeeded) })
+		workerCommand := call.workerCommand
+		loop.Defer(func() { workerCommand.Finish(control.Succeeded) })
 		return
 	}
 	call.conn = c
@@ -48,12 +48,12 @@
 		model := []byte(accepted.Model().Name)
 		return workerproto.AppendInvoke(buf, tag, request.group, model, request.idempotencyKey, timeoutMS, request.body), true
 	}
-	controlCall := call.controlCall
-	switch controlCall.Kind {
-	case gateway.CallLoadModel:
-		return workerproto.AppendLoadModel(buf, tag, controlCall.Model.Name, controlCall.Replicas), true
-	case gateway.CallUnloadModel:
-		return workerproto.AppendUnloadModel(buf, controlCall.Model.Name), false
+	workerCommand := call.workerCommand
+	switch workerCommand.Kind {
+	case gateway.CommandLoadModel:
+		return workerproto.AppendLoadModel(buf, tag, workerCommand.Model.Name, workerCommand.Replicas), true
+	case gateway.CommandUnloadModel:
+		return workerproto.AppendUnloadModel(buf, workerCommand.Model.Name), false
 	default:
 		return workerproto.AppendProbe(buf, tag), true
 	}
@@ -70,7 +70,7 @@
 		switch {
 		case call.endOffset <= sent: // sent completely
 		case call.attempt == nil:
-			c.recheckControlCall(call, now, sent)
+			c.recheckWorkerCommand(call, now, sent)
 		case call.startOffset >= sent: // not begun
 			c.recheckAttempt(call, now)
 		case rules.CheckRemainder(now, call.writtenAt) != rules.Allowed: // its deadline was sent and cannot be changed
@@ -80,9 +80,9 @@
 	}
 }
 
-// recheckControlCall queues an unsent control call again after a while. It has no deadline, but the worker may have changed
+// recheckWorkerCommand queues an unsent worker command again after a while. It has no deadline, but the worker may have changed
 // since.
-func (c *workerConn) recheckControlCall(call *workerCall, now float64, sent uint64) {
+func (c *workerConn) recheckWorkerCommand(call *workerCall, now float64, sent uint64) {
 	if call.startOffset < sent || now-call.writtenAt <= rules.MaxDeadlineAge {
 		return
 	}
--- a/internal/platform/worker_transport.go
+++ b/internal/platform/worker_transport.go
@@ -42,10 +42,10 @@
 	t.enqueue(call)
 }
 
-// SendControlCall implements gateway.WorkerTransport.
-func (t *workerTransport) SendControlCall(controlCall *gateway.ControlCall) {
-	call := t.resetCall(&controlCall.TransportState)
-	call.controlCall = controlCall
+// SendWorkerCommand implements gateway.WorkerTransport.
+func (t *workerTransport) SendWorkerCommand(workerCommand *gateway.WorkerCommand) {
+	call := t.resetCall(&workerCommand.TransportState)
+	call.workerCommand = workerCommand
 	t.pool.lastTag++
 	call.tagLen = len(strconv.AppendUint(append(call.tag[:0], 't'), t.pool.lastTag, 36))
 	t.enqueue(call)
@@ -56,9 +56,9 @@
 	callOf(attempt.TransportState).cancel()
 }
 
-// CancelControlCall implements gateway.WorkerTransport.
-func (t *workerTransport) CancelControlCall(controlCall *gateway.ControlCall) {
-	callOf(controlCall.TransportState).cancel()
+// CancelWorkerCommand implements gateway.WorkerTransport.
+func (t *workerTransport) CancelWorkerCommand(workerCommand *gateway.WorkerCommand) {
+	callOf(workerCommand.TransportState).cancel()
 }
 
 // SentAt implements gateway.WorkerTransport.
