--- /dev/null
+++ b/internal/membership/errors.go
@@ -0,0 +1,37 @@
+package membership
+
+import (
+	"fmt"
+	"net/netip"
+)
+
+// IDCollisionError is returned for a worker whose id, a hash of its name, is that of another worker.
+type IDCollisionError struct {
+	Existing, Name string
+}
+
+// Error implements error.
+func (e *IDCollisionError) Error() string {
+	return fmt.Sprintf("workers %q and %q have the same id: rename one", e.Existing, e.Name)
+}
+
+// UnlistedWorkerError is returned for a state of a worker that no source lists, without an address to list it by.
+type UnlistedWorkerError struct {
+	Name string
+}
+
+// Error implements error.
+func (e *UnlistedWorkerError) Error() string {
+	return fmt.Sprintf("worker %q is not listed: give its address", e.Name)
+}
+
+// AddressConflictError is returned for an address from the admin interface that differs from the one another source lists.
+type AddressConflictError struct {
+	Name   string
+	Listed netip.AddrPort
+}
+
+// Error implements error.
+func (e *AddressConflictError) Error() string {
+	return fmt.Sprintf("worker %q is listed at %s: its address is changed where it is listed", e.Name, e.Listed)
+}
--- /dev/null
+++ b/internal/membership/worker.go
@@ -0,0 +1,78 @@
+package membership
+
+import (
+	"net/netip"
+
+	"mastchute/control"
+)
+
+// Source is where a worker is listed.
+type Source uint8
+
+// The sources. The first one that lists a worker determines everything but its state.
+const (
+	SourceConfig    Source = iota // the settings file
+	SourceFile                    // the worker list file
+	SourceAdmin                   // the admin interface
+	SourceChangeLog               // the platform's change log
+	sourceCount
+)
+
+// String returns the source as logs and /status show it.
+func (s Source) String() string { return [...]string{"config", "file", "admin", "change log"}[s] }
+
+// Entry is a worker as one source lists it.
+type Entry struct {
+	Name   string
+	Addr   netip.AddrPort
+	Zone   string
+	Cell   string
+	Kind   string
+	Weight float64
+	State  control.WorkerState
+
+	// StartProvided is set by a source that knows when workers started. The fields below are valid then, and the worker
+	// itself is not probed.
+	StartProvided  bool
+	Epoch          float64 // its latest start in seconds since 1970; 0 for long ago
+	StartedAt      float64 // the same on the dispatcher's clock; -Inf for long ago
+	StartNotBefore float64 // the start is known to be no earlier, as the source would have listed it before
+}
+
+// Worker is a worker as all sources list it. The exported fields are for reading only.
+type Worker struct {
+	Entry
+	ID        control.WorkerID
+	StartedAt float64 // its latest known start; -Inf if none is known
+	Epoch     float64 // the same in seconds since 1970, as the worker or a source reported it; 0 if none is known
+	Version   uint32  // of the list when the worker last changed
+	ChangedAt float64
+	Source    Source // the one that determines its state
+	Listed    bool   // some source lists it
+
+	StartupProbe
+	startHistory startHistory
+	withheld     bool // listed as ready again, but not probed since
+	entries      [sourceCount]Entry
+	listedBy     [sourceCount]bool
+	// adminState is what the admin interface set, if hasAdminState.
+	hasAdminState bool
+	adminState    control.WorkerState
+	info          control.WorkerInfo
+}
+
+// Advertised returns the worker's entry for the control module. A worker that is ready again is advertised as draining until
+// a startup probe has finished: after a drain its process has often been replaced, and the new one holds no models.
+func (w *Worker) Advertised() control.WorkerInfo {
+	info := w.info
+	if w.withheld {
+		info.State = control.Draining
+	}
+	return info
+}
+
+// AwaitingStartupProbe reports whether the worker is ready again but has not been probed since.
+func (w *Worker) AwaitingStartupProbe() bool { return w.withheld }
+
+// StateName returns the name of the state in logs, /status and the admin interface.
+func (w *Worker) StateName() string { return [...]string{"gone", "ready", "draining"}[w.State] }
