--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -13,7 +13,7 @@
 // Listener accepts connections. It never closes a connection that waits in the kernel's queue: while none can be
 // accepted they stay there, and Drain accepts them all before it closes the socket.
 type Listener struct {
-	// Room is called before each connection is accepted, and reports whether there is capacity for one more; if not,
+	// AdmitConnection is called before each connection is accepted, and reports whether there is capacity for one more; if not,
 	// connections stay in the kernel's queue. evict is true if a connection is known to be waiting: the owner may then
 	// close others to free capacity. Room may be nil.
 	AdmitConnection func(evict bool) bool
--- a/internal/httpconn/call.go
+++ b/internal/httpconn/call.go
@@ -41,7 +41,7 @@
 	Handler ResponseHandler
 	// SentAt is the loop's time at which the request was passed to an established connection; 0 before.
 	SentAt float64
-	// HEAD is set for a request with that method, whose response has no body.
+	// IsHead is set for a request with that method, whose response has no body.
 	IsHead bool
 	// SendDeadline is the loop's time after which the request must not be sent any more; 0 means never. The call then ends
 	// with ErrNotSent.
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -35,30 +35,30 @@
 }
 
 // ReceivedAt returns the estimated time, on the loop's clock, at which the last bytes of the request arrived.
-func (x *Exchange) ReceivedAt() float64 { return x.conn.tcp.ReceivedAt() }
+func (e *Exchange) ReceivedAt() float64 { return e.conn.tcp.ReceivedAt() }
 
 // reserve reserves memory for the request; it is returned when the exchange is released.
-func (x *Exchange) reserve(n int64) bool {
-	if !x.conn.server.options.MemoryBudget.Reserve(n) {
+func (e *Exchange) reserve(n int64) bool {
+	if !e.conn.server.options.MemoryBudget.Reserve(n) {
 		return false
 	}
-	x.reservedBytes += n
+	e.reservedBytes += n
 	return true
 }
 
 // StartResponse starts a response. It returns the beginning of its head, to which the service appends header lines before
 // it passes it to FinishResponse or StartStream. Only one response of a server may be in this state at a time.
-func (x *Exchange) StartResponse(status int) []byte {
-	b := httpcodec.AppendStatus(x.conn.server.scratch[:0], status)
-	if !x.requestComplete && !x.decoder.Done() { // the unread body would be parsed as the next request
-		x.closeAfter = true
+func (e *Exchange) StartResponse(status int) []byte {
+	b := httpcodec.AppendStatus(e.conn.server.scratch[:0], status)
+	if !e.requestComplete && !e.decoder.Done() { // the unread body would be parsed as the next request
+		e.closeAfter = true
 	}
-	if x.conn.server.draining {
-		x.closeAfter = true
+	if e.conn.server.draining {
+		e.closeAfter = true
 	}
-	if x.closeAfter {
+	if e.closeAfter {
 		b = append(b, "Connection: close\r\n"...)
-	} else if x.Head.MinorVersion == 0 {
+	} else if e.Head.MinorVersion == 0 {
 		b = append(b, "Connection: keep-alive\r\n"...)
 	}
 	return b
@@ -66,74 +66,74 @@
 
 // FinishResponse completes the head with the length of the body, and sends both. body may be reused afterwards; the
 // exchange must not.
-func (x *Exchange) FinishResponse(head []byte, body []byte) {
+func (e *Exchange) FinishResponse(head []byte, body []byte) {
 	head = httpcodec.AppendLength(head, int64(len(body)))
 	head = append(head, "\r\n"...)
-	if x.headOnly {
+	if e.headOnly {
 		body = nil
 	} else if len(body) <= maxJoinedBody {
 		head = append(head, body...)
 		body = nil
 	}
-	x.conn.tcp.Write(head)
+	e.conn.tcp.Write(head)
 	if len(body) > 0 {
-		x.conn.tcp.Write(body)
+		e.conn.tcp.Write(body)
 	}
-	x.keepScratch(head)
-	x.finish()
+	e.keepScratch(head)
+	e.finish()
 }
 
 // StartStream completes the head of a response whose body follows by WriteStream and EndStream. length is that of the
 // body, or -1 if it is not known.
-func (x *Exchange) StartStream(head []byte, length int64) {
-	x.streaming = true
+func (e *Exchange) StartStream(head []byte, length int64) {
+	e.streaming = true
 	switch {
 	case length >= 0:
 		head = httpcodec.AppendLength(head, length)
-	case x.Head.MinorVersion == 1:
-		x.chunked = true
+	case e.Head.MinorVersion == 1:
+		e.chunked = true
 		head = append(head, "Transfer-Encoding: chunked\r\n"...)
 	default: // HTTP/1.0: the body ends with the connection
-		x.closeAfter = true
+		e.closeAfter = true
 	}
-	x.conn.tcp.Write(append(head, "\r\n"...))
-	x.keepScratch(head)
-	x.startBodyTimer()
+	e.conn.tcp.Write(append(head, "\r\n"...))
+	e.keepScratch(head)
+	e.startBodyTimer()
 }
 
 // WriteStream sends a piece of a streamed body. It returns false if too much waits for the peer already: the service
 // should then not continue before StreamWritable is called.
-func (x *Exchange) WriteStream(data []byte) bool {
-	if !x.headOnly {
-		if x.chunked {
-			chunk := httpcodec.AppendChunk(x.conn.server.scratch[:0], data)
-			x.conn.tcp.Write(chunk)
-			x.keepScratch(chunk)
+func (e *Exchange) WriteStream(data []byte) bool {
+	if !e.headOnly {
+		if e.chunked {
+			chunk := httpcodec.AppendChunk(e.conn.server.scratch[:0], data)
+			e.conn.tcp.Write(chunk)
+			e.keepScratch(chunk)
 		} else {
-			x.conn.tcp.Write(data)
+			e.conn.tcp.Write(data)
 		}
 	}
-	if x.conn.tcp.UnsentBytes() > x.conn.server.options.MaxStreamBuffer {
-		x.streamBlocked = true
-		x.conn.tcp.NotifyFlushed() // the kernel may accept all of it at once
+	if e.conn.tcp.UnsentBytes() > e.conn.server.options.MaxStreamBuffer {
+		e.streamBlocked = true
+		e.conn.tcp.NotifyFlushed() // the kernel may accept all of it at once
 		return false
 	}
-	x.startBodyTimer()
+	e.startBodyTimer()
 	return true
 }
 
 // EndStream completes a streamed response. The exchange must not be used afterwards.
-func (x *Exchange) EndStream() {
-	if x.chunked && !x.headOnly {
-		x.conn.tcp.Write([]byte(httpcodec.LastChunk))
+func (e *Exchange) EndStream() {
+	if e.chunked && !e.headOnly {
+		e.conn.tcp.Write([]byte(httpcodec.LastChunk))
 	}
-	x.finish()
+	e.finish()
 }
 
 // AbortStream ends a streamed response by a reset of the connection, from which the peer sees that the response is not
 // complete. It has no effect on an exchange that has ended. The exchange must not be used afterwards.
-func (x *Exchange) AbortStream() {
-	c := x.conn
+func (e *Exchange) AbortStream() {
+	c := e.conn
 	if c == nil {
 		return
 	}
@@ -142,28 +142,28 @@
 }
 
 // CloseAfterResponse requests that the connection be closed after this response.
-func (x *Exchange) CloseAfterResponse() { x.closeAfter = true }
+func (e *Exchange) CloseAfterResponse() { e.closeAfter = true }
 
 // UnsentBytes returns the number of bytes that wait for the peer.
-func (x *Exchange) UnsentBytes() int { return x.conn.tcp.UnsentBytes() }
+func (e *Exchange) UnsentBytes() int { return e.conn.tcp.UnsentBytes() }
 
-func (x *Exchange) startBodyTimer() {
-	x.conn.server.Loop.StartTimer(&x.conn.timer, x.conn.server.options.BodyTimeout)
+func (e *Exchange) startBodyTimer() {
+	e.conn.server.Loop.StartTimer(&e.conn.timer, e.conn.server.options.BodyTimeout)
 }
 
 // keepScratch keeps a buffer that has grown out of the server's scratch buffer in its place.
-func (x *Exchange) keepScratch(b []byte) {
-	if cap(b) > cap(x.conn.server.scratch) && cap(b) <= maxKeptBuffer {
-		x.conn.server.scratch = b[:0]
+func (e *Exchange) keepScratch(b []byte) {
+	if cap(b) > cap(e.conn.server.scratch) && cap(b) <= maxKeptBuffer {
+		e.conn.server.scratch = b[:0]
 	}
 }
 
 // finish releases the exchange and continues with the connection.
-func (x *Exchange) finish() {
-	c := x.conn
-	closing := x.closeAfter
+func (e *Exchange) finish() {
+	c := e.conn
+	closing := e.closeAfter
 	c.exchange = nil
-	c.server.releaseExchange(x)
+	c.server.releaseExchange(e)
 	if closing {
 		c.tcp.CloseFlushed()
 		c.release()
--- a/internal/httpconn/helpers_test.go
+++ b/internal/httpconn/helpers_test.go
@@ -26,17 +26,17 @@
 	s.rejected = append(s.rejected, e.Status)
 }
 
-func (s *recordingService) RequestReceived(x *Exchange) {
-	if string(x.Head.Target) == "/later" {
-		s.held = append(s.held, x)
+func (s *recordingService) RequestReceived(exchange *Exchange) {
+	if string(exchange.Head.Target) == "/later" {
+		s.held = append(s.held, exchange)
 		return
 	}
-	respond(x)
+	respond(exchange)
 }
 
-func respond(x *Exchange) {
-	body := append([]byte(nil), x.Head.Target...)
-	x.FinishResponse(x.StartResponse(200), append(body, x.Body...))
+func respond(exchange *Exchange) {
+	body := append([]byte(nil), exchange.Head.Target...)
+	exchange.FinishResponse(exchange.StartResponse(200), append(body, exchange.Body...))
 }
 
 func startServer(t *testing.T, l *eventloop.Loop, options ServerOptions) (*Server, *recordingService) {
--- a/internal/httpconn/problem.go
+++ b/internal/httpconn/problem.go
@@ -7,10 +7,10 @@
 
 // RespondProblem responds with an RFC 9457 problem, the form of all rejections and errors. detail must not need escaping in
 // JSON. The exchange must not be used afterwards.
-func (x *Exchange) RespondProblem(status int, detail string) {
-	head := x.StartResponse(status)
+func (e *Exchange) RespondProblem(status int, detail string) {
+	head := e.StartResponse(status)
 	head = httpcodec.AppendHeader(head, "Content-Type", ProblemType)
-	x.FinishResponse(head, AppendProblem(nil, status, detail))
+	e.FinishResponse(head, AppendProblem(nil, status, detail))
 }
 
 // AppendProblem appends an RFC 9457 problem to b. detail must not need escaping in JSON.
--- a/internal/httpconn/server.go
+++ b/internal/httpconn/server.go
@@ -49,16 +49,16 @@
 type Service interface {
 	// HeadReceived is called when the head of a request has been received. It returns false to have the body read, or
 	// true if it has responded already.
-	HeadReceived(x *Exchange) (responded bool)
+	HeadReceived(exchange *Exchange) (responded bool)
 	// RequestReceived is called when the whole request has been received. The service must respond exactly once, during
 	// the call or later.
-	RequestReceived(x *Exchange)
-	// ClientGone is called when the peer has disconnected before the response was complete. x must not be used
+	RequestReceived(exchange *Exchange)
+	// ClientGone is called when the peer has disconnected before the response was complete. exchange must not be used
 	// afterwards.
-	ClientGone(x *Exchange)
+	ClientGone(exchange *Exchange)
 	// StreamWritable is called when a streamed response may be continued after WriteStream has returned false.
-	StreamWritable(x *Exchange)
-	// RequestRefused is called for each message that the server itself rejects, so that it can be counted.
+	StreamWritable(exchange *Exchange)
+	// RequestRejected is called for each message that the server itself rejects, so that it can be counted.
 	RequestRejected(e *httpcodec.Error)
 }
 
--- a/internal/httpconn/server_conn.go
+++ b/internal/httpconn/server_conn.go
@@ -56,10 +56,10 @@
 
 // Flushed implements eventloop.Handler.
 func (c *serverConn) Flushed(*eventloop.Conn) {
-	x := c.exchange
-	if x != nil && x.streamBlocked {
-		x.streamBlocked = false
-		c.server.Service.StreamWritable(x)
+	exchange := c.exchange
+	if exchange != nil && exchange.streamBlocked {
+		exchange.streamBlocked = false
+		c.server.Service.StreamWritable(exchange)
 	}
 }
 
@@ -129,15 +129,15 @@
 }
 
 // releaseExchange returns the memory that an exchange has reserved, and keeps the exchange and its buffers for reuse.
-func (s *Server) releaseExchange(x *Exchange) {
-	s.options.MemoryBudget.Used -= x.reservedBytes
-	headers := x.Head.Headers[:0]
-	headBytes := x.headBytes[:0]
-	body := x.Body[:0]
+func (s *Server) releaseExchange(exchange *Exchange) {
+	s.options.MemoryBudget.Used -= exchange.reservedBytes
+	headers := exchange.Head.Headers[:0]
+	headBytes := exchange.headBytes[:0]
+	body := exchange.Body[:0]
 	if cap(body) > maxKeptBuffer {
 		body = nil
 	}
-	*x = Exchange{headBytes: headBytes, Body: body}
-	x.Head.Headers = headers
-	s.freeExchanges = append(s.freeExchanges, x)
+	*exchange = Exchange{headBytes: headBytes, Body: body}
+	exchange.Head.Headers = headers
+	s.freeExchanges = append(s.freeExchanges, exchange)
 }
--- a/internal/httpconn/server_read.go
+++ b/internal/httpconn/server_read.go
@@ -78,8 +78,8 @@
 
 // awaitHead releases an exchange whose head is not complete; the head is parsed anew when more of it arrives. The head
 // timeout starts with its first byte.
-func (c *serverConn) awaitHead(x *Exchange) {
-	c.server.releaseExchange(x)
+func (c *serverConn) awaitHead(exchange *Exchange) {
+	c.server.releaseExchange(exchange)
 	c.exchange = nil
 	if !c.headStarted {
 		c.headStarted = true
--- a/internal/httpconn/server_test.go
+++ b/internal/httpconn/server_test.go
@@ -154,22 +154,22 @@
 	conn, r := dial(t, server)
 	io.WriteString(conn, "GET /later HTTP/1.1\r\nHost: a\r\n\r\n")
 	eventlooptest.Until(t, l, "the request is received", func() bool { return len(service.held) == 1 })
-	x := service.held[0]
+	exchange := service.held[0]
 	eventlooptest.On(t, l, func() {
-		x.StartStream(x.StartResponse(200), 2500)
-		if x.WriteStream(make([]byte, 2000)) {
+		exchange.StartStream(exchange.StartResponse(200), 2500)
+		if exchange.WriteStream(make([]byte, 2000)) {
 			t.Error("2000 bytes wait for the peer, and the service is not held back at 1000")
 		}
 	})
 	eventlooptest.Until(t, l, "the service may continue", func() bool { return service.writable == 1 })
 	eventlooptest.On(t, l, func() {
-		if n := x.UnsentBytes(); n > 0 {
+		if n := exchange.UnsentBytes(); n > 0 {
 			t.Errorf("the service may continue while %d bytes wait for the peer", n)
 		}
-		if !x.WriteStream(make([]byte, 500)) {
+		if !exchange.WriteStream(make([]byte, 500)) {
 			t.Error("the service is held back at 500 bytes of 1000")
 		}
-		x.EndStream()
+		exchange.EndStream()
 	})
 	if status, body, _ := readResponse(t, r); status != 200 || len(body) != 2500 {
 		t.Errorf("%d, %d bytes of 2500", status, len(body))
