--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -67,6 +67,7 @@
 // Abort ends the connection at once with a reset. Closed is not called.
 func (c *Conn) Abort() {
 	if c.fd >= 0 {
+		// Where this fails the connection ends by a FIN: the peer still sees a response that is not complete.
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	c.Close()
--- a/internal/eventloop/conn_write.go
+++ b/internal/eventloop/conn_write.go
@@ -114,7 +114,7 @@
 			c.Close()
 			return
 		}
-		unix.Shutdown(c.fd, unix.SHUT_WR)
+		unix.Shutdown(c.fd, unix.SHUT_WR) // fails only if the peer has reset the connection; the linger timer closes it
 		c.loop.StartTimer(&c.timer, lingerTimeout)
 	}
 	notify := c.writeBlocked || c.notifyFlushed
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return -1, err
 	}
-	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure costs latency only
 	err = l.kernel.Connect(fd, address)
 	switch err {
 	case nil, unix.EINPROGRESS, unix.EINTR: // an interrupted connect continues in the kernel
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen %s: %w", at, err)
 	}
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // where this fails, bind may report EADDRINUSE
 	err = l.kernel.Bind(fd, address)
 	if err == nil {
 		err = l.kernel.Listen(fd, listenBacklog)
@@ -199,7 +199,7 @@
 // openConn creates the Conn of an accepted connection.
 func (ln *Listener) openConn(fd int, peer netip.AddrPort) {
 	l := ln.loop
-	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure costs latency only
 	c := &Conn{loop: l, fd: fd, peer: peer, established: true, interest: unix.EPOLLIN | unix.EPOLLRDHUP}
 	c.markUnread(ln.knownEmptyAt) // its first bytes may have arrived any time since
 	c.handler = ln.newHandler(c)
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -53,7 +53,7 @@
 )
 
 // ErrOneSeed is returned by Experiment if its limits allow one seed only.
-var ErrOneSeed = errors.New("one seed tells no interval: write at least 2")
+var ErrOneSeed = errors.New("one seed gives no interval: write at least 2")
 
 // halfWidth is half the width of the confidence interval of the mean of paired differences, +Inf for fewer than two.
 func halfWidth(differences []float64, level float64) float64 {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -216,7 +216,7 @@
 		case <-ticker.C:
 		}
 		r.mu.Lock()
-		fmt.Fprintf(r.options.Progress, "%5.0f s  asked %d, in hand %d, returned %d, shed %d, p99 %.1f ms\n", time.Since(r.begin).Seconds(), r.result.Asked, r.inFlight,
+		fmt.Fprintf(r.options.Progress, "%5.0f s  asked %d, in flight %d, returned %d, shed %d, p99 %.1f ms\n", time.Since(r.begin).Seconds(), r.result.Asked, r.inFlight,
 			r.result.Answers[string(AnswerReturned)], r.result.Answers[string(AnswerShed)], 1e3*secondsAt(r.result.returned, 99))
 		r.mu.Unlock()
 	}
