--- a/internal/lab/invariants.go
+++ b/internal/lab/invariants.go
@@ -297,7 +297,7 @@
 		}
 		f.nearest(sinceNotified / (grace + wireSlack))
 		if r.T > drain.NotifiedAt+grace+wireSlack {
-			f.violation("%s sent %s an %s of %s %.3f s after it was notified that it is %s", drain.Dispatcher, drain.Worker, describeKind(r), r.Model, sinceNotified, drain.State)
+			f.violation("%s sent %s an %s of %s %.3f s after it heard that it is %s", drain.Dispatcher, drain.Worker, describeKind(r), r.Model, sinceNotified, drain.State)
 		}
 	}
 	if tested {
